--- a/dandelionwinch/bench/overload/_simulation.py
+++ b/dandelionwinch/bench/overload/_simulation.py
@@ -113,7 +113,7 @@
                 role,
                 slots[engine.data_centre],
             )
-            found[name] = upstreams.Belief(entry)
+            found[name] = upstreams.Upstream(entry)
         return found
 
     def schedule(self, at, function, *args):
--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -2,7 +2,7 @@
 
 from dandelionwinch.upstreams._absence import Absence
 from dandelionwinch.upstreams._beliefs import available
-from dandelionwinch.upstreams._beliefs import Belief
+from dandelionwinch.upstreams._beliefs import Upstream
 from dandelionwinch.upstreams._beliefs import Beliefs
 from dandelionwinch.upstreams._beliefs import Entry
 from dandelionwinch.upstreams._beliefs import Role
@@ -10,7 +10,7 @@
 
 __all__ = [
     'Absence',
-    'Belief',
+    'Upstream',
     'Beliefs',
     'Entry',
     'Role',
--- a/dandelionwinch/upstreams/_beliefs.py
+++ b/dandelionwinch/upstreams/_beliefs.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class Belief:
+class Upstream:
     """One upstream as this instance sees it.
 
     Attributes:
@@ -126,7 +126,7 @@
             belief.entry = entry
             belief.gone_at = None
         else:
-            self._by_id[entry.id] = Belief(entry)
+            self._by_id[entry.id] = Upstream(entry)
         self._index()
         return not same
 
