--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -16,7 +16,7 @@
     def __init__(self, loop):
         self._loop = loop
         self._pools = {}
-        self.beliefs = upstreams.Beliefs()
+        self.beliefs = upstreams.Registry()
         self.parts = 1.0
         self.table = None
         self.typical = upstreams.Typical()
--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -3,7 +3,7 @@
 from dandelionwinch.upstreams._absence import Absence
 from dandelionwinch.upstreams._beliefs import available
 from dandelionwinch.upstreams._beliefs import Upstream
-from dandelionwinch.upstreams._beliefs import Beliefs
+from dandelionwinch.upstreams._beliefs import Registry
 from dandelionwinch.upstreams._beliefs import Entry
 from dandelionwinch.upstreams._beliefs import Role
 from dandelionwinch.upstreams._typical import Typical
@@ -11,7 +11,7 @@
 __all__ = [
     'Absence',
     'Upstream',
-    'Beliefs',
+    'Registry',
     'Entry',
     'Role',
     'Typical',
--- a/dandelionwinch/upstreams/_beliefs.py
+++ b/dandelionwinch/upstreams/_beliefs.py
@@ -100,7 +100,7 @@
         self.failures = EJECT_FAILURES - FAILURE_SHARE / 2
 
 
-class Beliefs:
+class Registry:
     """All upstreams, by id."""
 
     __slots__ = ('_by_id', '_by_service', '_lost_at')
