--- a/dandelionwinch/bench/_capacity.py
+++ b/dandelionwinch/bench/_capacity.py
@@ -251,7 +251,7 @@
 
 def _beliefs():
     return [
-        placement.Belief(
+        placement.LoadEstimate(
             name=f'lm-{n}',
             data_centre=f'data_centre-{n % DATA_CENTRES}',
             role=settings.Role.DECODE,
--- a/dandelionwinch/bench/_placement.py
+++ b/dandelionwinch/bench/_placement.py
@@ -64,7 +64,7 @@
 
 
 def _belief(name, number):
-    return placement.Belief(
+    return placement.LoadEstimate(
         name=name,
         data_centre=f'data_centre-{number % DATA_CENTRES}',
         role=settings.Role.MIXED,
--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -229,7 +229,7 @@
     @staticmethod
     def _belief(engine):
         figures = engine.figures
-        return placement.Belief(
+        return placement.LoadEstimate(
             name=str(engine.number),
             data_centre=engine.data_centre,
             role=engine.role,
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -290,7 +290,7 @@
 
 
 def _belief(upstream, data_centre):
-    return placement.Belief(
+    return placement.LoadEstimate(
         name=upstream.name,
         data_centre=data_centre,
         role=upstream.role,
--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -1,6 +1,6 @@
 """Where a job runs, and which roles the upstreams of a pool have."""
 
-from dandelionwinch.placement._beliefs import Belief
+from dandelionwinch.placement._beliefs import LoadEstimate
 from dandelionwinch.placement._beliefs import Beliefs
 from dandelionwinch.placement._beliefs import Report
 from dandelionwinch.placement._decider import Query
@@ -18,7 +18,7 @@
 from dandelionwinch.placement._trend import Trend
 
 __all__ = [
-    'Belief',
+    'LoadEstimate',
     'Beliefs',
     'Capacity',
     'Choice',
--- a/dandelionwinch/placement/_beliefs.py
+++ b/dandelionwinch/placement/_beliefs.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class Belief:
+class LoadEstimate:
     """One upstream: its figures, its last report and what was sent since."""
 
     name: str
