--- a/dandelionwinch/bench/_placement.py
+++ b/dandelionwinch/bench/_placement.py
@@ -25,7 +25,7 @@
 
 def _measure(count, seed):
     rng = random.Random(seed)
-    beliefs = placement.Beliefs()
+    beliefs = placement.LoadEstimates()
     names = [f'lm-{number}' for number in range(count)]
     beliefs.set_upstreams(_belief(name, i) for i, name in enumerate(names))
     for name in names:
--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -210,7 +210,7 @@
         self._beliefs = []
         self._placers = []
         for number in range(trace.instances):
-            beliefs = placement.Beliefs()
+            beliefs = placement.LoadEstimates()
             beliefs.set_upstreams(self._belief(e) for e in engines)
             rng = random.Random(seed * 1000 + number)
             placer = placement.Placer(beliefs, rng)
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -22,7 +22,7 @@
         self._core = core
         self.book = jobs.JobBook()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
-        self.beliefs = placement.Beliefs()
+        self.beliefs = placement.LoadEstimates()
         self.placer = placement.Placer(self.beliefs, core.rng)
         self._budgets = {}
         self.trends = {}
--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -1,7 +1,7 @@
 """Where a job runs, and which roles the upstreams of a pool have."""
 
 from dandelionwinch.placement._beliefs import LoadEstimate
-from dandelionwinch.placement._beliefs import Beliefs
+from dandelionwinch.placement._beliefs import LoadEstimates
 from dandelionwinch.placement._beliefs import Report
 from dandelionwinch.placement._decider import Query
 from dandelionwinch.placement._decider import usual_decider
@@ -19,7 +19,7 @@
 
 __all__ = [
     'LoadEstimate',
-    'Beliefs',
+    'LoadEstimates',
     'Capacity',
     'Choice',
     'Demand',
--- a/dandelionwinch/placement/_beliefs.py
+++ b/dandelionwinch/placement/_beliefs.py
@@ -151,7 +151,7 @@
         return int(min(self.max_batch * BATCH_MARGIN, by_gap))
 
 
-class Beliefs:
+class LoadEstimates:
     """The beliefs of one instance about all upstreams it may use."""
 
     __slots__ = ('_by_name',)
