--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_steward.py
@@ -156,7 +156,7 @@
         if change is None:
             return
         self._next_at = now + SETTLE_S
-        belief = self._gateway.fleet.beliefs.get(change.upstream_id)
+        belief = self._gateway.fleet.registry.get(change.upstream_id)
         await self._store.put(
             CHANGE_PREFIX + change.upstream_id,
             change.role.value.encode(),
@@ -165,7 +165,7 @@
         self._gateway.changing(change.upstream_id, CHANGE_S)
         await asyncio.sleep(ANNOUNCE_S)
         await self._renew()
-        if self._gateway.fleet.beliefs.serves(belief):
+        if self._gateway.fleet.registry.serves(belief):
             await self._order(belief, change)
         self._next_at = self._loop.time() + SETTLE_S
 
@@ -176,7 +176,7 @@
                 continue
             engines = [
                 b
-                for b in fleet.beliefs.serving(service.name)
+                for b in fleet.registry.serving(service.name)
                 if b.changing_until <= now
             ]
             change = dispatch.plan_role(
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -126,7 +126,7 @@
         self._vanish(
             [
                 belief.entry.id
-                for belief in self._gateway.fleet.beliefs
+                for belief in self._gateway.fleet.registry
                 if belief.gone_at is None
                 and self._catalogue.key_of(belief.entry.id) not in keys
             ],
@@ -188,7 +188,7 @@
             return
         name = item.key.removeprefix(_steward.CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
-        belief = self._gateway.fleet.beliefs.get(name)
+        belief = self._gateway.fleet.registry.get(name)
         if belief is None or belief.entry.role.value == role:
             return
         self._gateway.changing(name, _steward.CHANGE_S)
@@ -212,17 +212,17 @@
         self.on_config(table)
 
     def _apply_upstream(self, name, item, now):
-        beliefs = self._gateway.fleet.beliefs
+        registry = self._gateway.fleet.registry
         try:
             entry = self._catalogue.read_upstream(name, item.value)
         except _store.EntryInvalid as exc:
             self._log.event('upstream.invalid', finding=exc.message)
-            beliefs.remove(name, now)
+            registry.remove(name, now)
             return
-        known = beliefs.get(name)
+        known = registry.get(name)
         before = known.entry if known else None
         self._absence.returned(name)
-        if beliefs.apply(entry):
+        if registry.apply(entry):
             self._gateway.placer.forget(name)
         if before is not None and before.role is not entry.role:
             self._gateway.changed(name)
@@ -244,7 +244,7 @@
 
     def _vanish(self, upstream_ids, now):
         known = sum(
-            1 for b in self._gateway.fleet.beliefs if b.gone_at is None
+            1 for b in self._gateway.fleet.registry if b.gone_at is None
         )
         for name in self._absence.vanished(upstream_ids, known, now):
             self._gone(name, now, held=False)
@@ -256,7 +256,7 @@
             self._gone(name, now, held=True)
 
     def _gone(self, name, now, held):
-        self._gateway.fleet.beliefs.remove(name, now)
+        self._gateway.fleet.registry.remove(name, now)
         self._log.event('upstream.gone', upstream=name, held=held)
 
     def _apply_instance(self, item):
--- a/dandelionwinch/gateway/_call.py
+++ b/dandelionwinch/gateway/_call.py
@@ -13,7 +13,7 @@
         """Sends the call to one upstream and hands its answer on."""
         now = self._loop.time()
         belief = dispatch.choose_plain(
-            self._fleet.beliefs.serving(self._service),
+            self._fleet.registry.serving(self._service),
             self._tried | self._full,
             self._gateway.distances,
             self._gateway.rng,
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -236,7 +236,7 @@
             belief.failed(now)
             belief.eject(now)
             raise self._not_sent(belief, str(exc)) from exc
-        if not self._fleet.beliefs.serves(belief):
+        if not self._fleet.registry.serves(belief):
             # It has begun to leave while this request waited.
             pool.give_unused(conn)
             reason = f'upstream "{belief.entry.id}" is leaving'
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -11,12 +11,12 @@
 class Fleet:
     """The upstreams as one instance uses them."""
 
-    __slots__ = ('_loop', '_pools', 'beliefs', 'parts', 'table', 'typical')
+    __slots__ = ('_loop', '_pools', 'registry', 'parts', 'table', 'typical')
 
     def __init__(self, loop):
         self._loop = loop
         self._pools = {}
-        self.beliefs = upstreams.Registry()
+        self.registry = upstreams.Registry()
         self.parts = 1.0
         self.table = None
         self.typical = upstreams.Typical()
@@ -40,10 +40,10 @@
 
     def sweep(self, now):
         """Closes idle connections and those to upstreams that are gone."""
-        self.beliefs.forget(now, FORGET_S)
+        self.registry.forget(now, FORGET_S)
         serving = {
             (b.entry.id, b.entry.born, b.entry.address)
-            for b in self.beliefs
+            for b in self.registry
             if b.gone_at is None
         }
         for key, pool in list(self._pools.items()):
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -119,13 +119,13 @@
 
     def changing(self, upstream_id, span_s):
         """Keeps requests away from an engine that changes its role."""
-        belief = self.fleet.beliefs.get(upstream_id)
+        belief = self.fleet.registry.get(upstream_id)
         if belief is not None:
             belief.changing_until = self.loop.time() + span_s
 
     def changed(self, upstream_id):
         """Lets an engine that has its new role take requests."""
-        belief = self.fleet.beliefs.get(upstream_id)
+        belief = self.fleet.registry.get(upstream_id)
         if belief is not None:
             belief.changing_until = 0.0
 
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -28,7 +28,7 @@
         prompt = self._inquiry.prompt
         placement = self._gateway.placer.place(
             prompt,
-            self._fleet.beliefs.serving(self._service),
+            self._fleet.registry.serving(self._service),
             self._tried | self._full,
             now,
             direct=bool(self._attempt),
@@ -102,10 +102,10 @@
     def _settled(self, placement):
         """Returns the placement with an engine that still takes requests."""
         now = self._loop.time()
-        if self._fleet.beliefs.serves(placement.decode):
+        if self._fleet.registry.serves(placement.decode):
             return placement
         other = self._gateway.placer.replace_decoder(
-            placement, self._fleet.beliefs.serving(self._service), now
+            placement, self._fleet.registry.serving(self._service), now
         )
         if other is None:
             raise self._nowhere()
