--- a/dandelionwinch/daemon/_deciders.py
+++ b/dandelionwinch/daemon/_deciders.py
@@ -59,7 +59,7 @@
         return near[name]
 
     def _request(self, query):
-        quarantined = self._core.work.beliefs.quarantined(self._core.now())
+        quarantined = self._core.work.estimates.quarantined(self._core.now())
         excluded = sorted(query.exclude | set(quarantined))
         return peer_pb2.PlaceRequest(
             model=query.model,
