--- a/dandelionwinch/bench/_capacity.py
+++ b/dandelionwinch/bench/_capacity.py
@@ -105,7 +105,7 @@
 
 def _placing(row):
     core = round(100 * row['core_share_at_7.5_per_s'], 3)
-    memory = _memory_mb(_beliefs)
+    memory = _memory_mb(_estimates)
     return _line(
         'placement',
         'at most 16 candidates a site, nearest site first',
@@ -249,7 +249,7 @@
     ]
 
 
-def _beliefs():
+def _estimates():
     return [
         placement.LoadEstimate(
             name=f'lm-{n}',
