--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -35,7 +35,7 @@
     def adopt(self, catalog):
         """Takes over the upstreams of a new configuration."""
         self.estimates.set_upstreams(
-            _belief(upstream, catalog.data_centre_of(upstream))
+            _estimate(upstream, catalog.data_centre_of(upstream))
             for upstream in catalog.all('upstream')
             if upstream.role is not settings.Role.SERVICE
         )
@@ -289,7 +289,7 @@
     return size / link.bytes_per_s + link.price * size / GIGABYTE
 
 
-def _belief(upstream, data_centre):
+def _estimate(upstream, data_centre):
     return placement.LoadEstimate(
         name=upstream.name,
         data_centre=data_centre,
