--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -2,7 +2,7 @@
 
 from dandelionwinch.dispatch._distance import Distances
 from dandelionwinch.dispatch._engines import EnginePlacer
-from dandelionwinch.dispatch._pace import Pace
+from dandelionwinch.dispatch._pace import RateLimiter
 from dandelionwinch.dispatch._plain import choose_plain
 from dandelionwinch.dispatch._prompts import HANDED_OVER_URGENCY
 from dandelionwinch.dispatch._prompts import Lane
@@ -16,7 +16,7 @@
     'Distances',
     'EnginePlacer',
     'Lane',
-    'Pace',
+    'RateLimiter',
     'Placement',
     'Prompt',
     'RoleOrder',
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -214,7 +214,7 @@
     def _pace(self, belief, now):
         pace = self._paces.get(belief.entry.id)
         if pace is None:
-            pace = _pace.Pace(self._speed(belief), self.parts, now)
+            pace = _pace.RateLimiter(self._speed(belief), self.parts, now)
             self._paces[belief.entry.id] = pace
         return pace
 
--- a/dandelionwinch/dispatch/_pace.py
+++ b/dandelionwinch/dispatch/_pace.py
@@ -26,7 +26,7 @@
 OCTAVE_S = 0.03
 
 
-class Pace:
+class RateLimiter:
     """A token bucket whose rate follows the delay of first tokens.
 
     Rates are prompt tokens per second. A prompt is admitted while the
