--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -38,9 +38,9 @@
         if not decoders:
             return None
         prefill, decode = None, self._one_of(decoders, prompt)
-        lane = dispatch.Lane.ANSWER
+        lane = dispatch.PriorityClass.ANSWER
         if not prompt.short:
-            lane = dispatch.Lane.URGENT
+            lane = dispatch.PriorityClass.URGENT
             if readers:
                 prefill = self._one_of(readers, prompt)
                 decode = self._near(prefill, decoders)
--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -5,7 +5,7 @@
 from dandelionwinch.dispatch._pace import RateLimiter
 from dandelionwinch.dispatch._plain import choose_plain
 from dandelionwinch.dispatch._prompts import HANDED_OVER_URGENCY
-from dandelionwinch.dispatch._prompts import Lane
+from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Placement
 from dandelionwinch.dispatch._prompts import Prompt
 from dandelionwinch.dispatch._roles import plan_role
@@ -15,7 +15,7 @@
     'HANDED_OVER_URGENCY',
     'Distances',
     'EnginePlacer',
-    'Lane',
+    'PriorityClass',
     'RateLimiter',
     'Placement',
     'Prompt',
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -102,7 +102,7 @@
 
         if prompt.short:
             chosen = self._answer_host(layout, now)
-            return placed(chosen, _prompts.Lane.ANSWER)
+            return placed(chosen, _prompts.PriorityClass.ANSWER)
         takers = layout.decoders if direct else layout.readers
         homes = self._homes(prompt, takers, layout, now)
         if not late:
@@ -113,10 +113,10 @@
                     prompt, belief.entry.id, now
                 )
                 if self._admits(belief, tokens, layout, objective_s, now):
-                    return placed(belief, _prompts.Lane.URGENT)
+                    return placed(belief, _prompts.PriorityClass.URGENT)
         for belief in homes:
             if self._has_background_room(belief, layout, late, now):
-                return placed(belief, _prompts.Lane.BACKGROUND)
+                return placed(belief, _prompts.PriorityClass.BACKGROUND)
         return None
 
     def _homes(self, prompt, takers, layout, now):
@@ -290,7 +290,7 @@
         """Notes that an engine gets a prompt."""
         upstream_id = placement.reader.entry.id
         self._cached.sent(prompt, upstream_id, now)
-        if placement.lane is _prompts.Lane.URGENT:
+        if placement.lane is _prompts.PriorityClass.URGENT:
             due_at = now + placement.work_s
             self._overdue.sent(upstream_id, placement, due_at)
         self._running.sent(placement, now)
@@ -358,12 +358,12 @@
             self._pace(reader, now).slow_down(now)
 
     def _learn(self, reader, placement, taken_s, work_s, now):
-        if placement.lane is _prompts.Lane.BACKGROUND:
+        if placement.lane is _prompts.PriorityClass.BACKGROUND:
             reader.succeeded(reader.excess_s, now)
             return
         excess_s = taken_s - work_s
         reader.succeeded(excess_s, now)
-        if placement.lane is _prompts.Lane.ANSWER:
+        if placement.lane is _prompts.PriorityClass.ANSWER:
             return
         self._speeds.learn(
             reader.entry,
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -9,7 +9,7 @@
 SHORT_PROMPT_TOKENS = 1024
 
 
-class Lane(enum.Enum):
+class PriorityClass(enum.Enum):
     """How urgent a prompt is at its engine."""
 
     ANSWER = 'answer'
@@ -19,7 +19,7 @@
 
 # A prompt that was read elsewhere needs its engine for the shortest time.
 HANDED_OVER_URGENCY = 1
-URGENCY = {Lane.ANSWER: 2, Lane.URGENT: 5}
+URGENCY = {PriorityClass.ANSWER: 2, PriorityClass.URGENT: 5}
 RETURNED_URGENCY = 6
 BACKGROUND_SIZES = (1500, 4000)
 
@@ -62,7 +62,7 @@
 
     prefill: object
     decode: object
-    lane: Lane
+    lane: PriorityClass
     late: bool
     objective_s: float
     fresh_tokens: int
@@ -77,7 +77,7 @@
         served for one large one; those that come back go before all,
         as they will not come a third time.
         """
-        if self.lane is not Lane.BACKGROUND:
+        if self.lane is not PriorityClass.BACKGROUND:
             return URGENCY[self.lane]
         if self.late:
             return RETURNED_URGENCY
--- a/dandelionwinch/dispatch/_running.py
+++ b/dandelionwinch/dispatch/_running.py
@@ -34,7 +34,7 @@
     def sent(self, placement, now):
         """Notes that an engine gets a prompt."""
         self._add(placement, 1)
-        if placement.lane is _prompts.Lane.ANSWER:
+        if placement.lane is _prompts.PriorityClass.ANSWER:
             self._peak = self.peak_of_answers(now)
             self._peak_at = now
 
@@ -44,9 +44,9 @@
 
     def _add(self, placement, change):
         match placement.lane:
-            case _prompts.Lane.ANSWER:
+            case _prompts.PriorityClass.ANSWER:
                 counts = self._answers
-            case _prompts.Lane.BACKGROUND:
+            case _prompts.PriorityClass.BACKGROUND:
                 counts = self._background
             case _:
                 return
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -84,7 +84,7 @@
     async def _ask_prefill(self, talk, sending, lane):
         talk.send(sending)
         patience_s = self._left_s()
-        if lane is not dispatch.Lane.BACKGROUND:
+        if lane is not dispatch.PriorityClass.BACKGROUND:
             patience_s = PREFILL_SILENCE_FACTOR * self._route.objective_s
         head = await talk.head(patience_s)
         body = await talk.body(patience_s)
