--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -38,16 +38,16 @@
         if not decoders:
             return None
         prefill, decode = None, self._one_of(decoders, prompt)
-        lane = dispatch.PriorityClass.ANSWER
+        priority_class = dispatch.PriorityClass.ANSWER
         if not prompt.short:
-            lane = dispatch.PriorityClass.URGENT
+            priority_class = dispatch.PriorityClass.URGENT
             if readers:
                 prefill = self._one_of(readers, prompt)
                 decode = self._near(prefill, decoders)
         return dispatch.Placement(
             prefill,
             decode,
-            lane,
+            priority_class,
             more['late'],
             more['objective_s'],
             prompt.tokens,
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -95,9 +95,9 @@
         if layout is None:
             return None
 
-        def placed(chosen, lane):
+        def placed(chosen, priority_class):
             return self._placement(
-                prompt, chosen, layout, lane, late, objective_s, now
+                prompt, chosen, layout, priority_class, late, objective_s, now
             )
 
         if prompt.short:
@@ -218,7 +218,7 @@
             self._paces[belief.entry.id] = pace
         return pace
 
-    def _placement(self, prompt, chosen, layout, lane, late, objective_s, now):
+    def _placement(self, prompt, chosen, layout, priority_class, late, objective_s, now):
         tokens = prompt.tokens - self._cached.hit(prompt, chosen.entry.id, now)
         work_s = self._round_trip_s(chosen) + tokens / self._speed(chosen)
         terms = (
@@ -232,7 +232,7 @@
             decode = self._partner(chosen, layout, now)
             work_s += HANDOVER_S + self._round_trip_s(decode)
         return _prompts.Placement(
-            prefill, decode, lane, late, objective_s, tokens, work_s, terms
+            prefill, decode, priority_class, late, objective_s, tokens, work_s, terms
         )
 
     def _partner(self, reader, layout, now):
@@ -290,7 +290,7 @@
         """Notes that an engine gets a prompt."""
         upstream_id = placement.reader.entry.id
         self._cached.sent(prompt, upstream_id, now)
-        if placement.lane is _prompts.PriorityClass.URGENT:
+        if placement.priority_class is _prompts.PriorityClass.URGENT:
             due_at = now + placement.work_s
             self._overdue.sent(upstream_id, placement, due_at)
         self._running.sent(placement, now)
@@ -358,12 +358,12 @@
             self._pace(reader, now).slow_down(now)
 
     def _learn(self, reader, placement, taken_s, work_s, now):
-        if placement.lane is _prompts.PriorityClass.BACKGROUND:
+        if placement.priority_class is _prompts.PriorityClass.BACKGROUND:
             reader.succeeded(reader.excess_s, now)
             return
         excess_s = taken_s - work_s
         reader.succeeded(excess_s, now)
-        if placement.lane is _prompts.PriorityClass.ANSWER:
+        if placement.priority_class is _prompts.PriorityClass.ANSWER:
             return
         self._speeds.learn(
             reader.entry,
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -62,7 +62,7 @@
 
     prefill: object
     decode: object
-    lane: PriorityClass
+    priority_class: PriorityClass
     late: bool
     objective_s: float
     fresh_tokens: int
@@ -77,8 +77,8 @@
         served for one large one; those that come back go before all,
         as they will not come a third time.
         """
-        if self.lane is not PriorityClass.BACKGROUND:
-            return URGENCY[self.lane]
+        if self.priority_class is not PriorityClass.BACKGROUND:
+            return URGENCY[self.priority_class]
         if self.late:
             return RETURNED_URGENCY
         sizes = bisect.bisect(BACKGROUND_SIZES, self.fresh_tokens)
--- a/dandelionwinch/dispatch/_running.py
+++ b/dandelionwinch/dispatch/_running.py
@@ -34,7 +34,7 @@
     def sent(self, placement, now):
         """Notes that an engine gets a prompt."""
         self._add(placement, 1)
-        if placement.lane is _prompts.PriorityClass.ANSWER:
+        if placement.priority_class is _prompts.PriorityClass.ANSWER:
             self._peak = self.peak_of_answers(now)
             self._peak_at = now
 
@@ -43,7 +43,7 @@
         self._add(placement, -1)
 
     def _add(self, placement, change):
-        match placement.lane:
+        match placement.priority_class:
             case _prompts.PriorityClass.ANSWER:
                 counts = self._answers
             case _prompts.PriorityClass.BACKGROUND:
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -141,7 +141,7 @@
             request=request_id,
             prefill=prefill.entry.id if prefill else '',
             decode=placement.decode.entry.id,
-            lane=placement.lane.value,
+            lane=placement.priority_class.value,
             terms=placement.terms,
         )
 
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -73,7 +73,7 @@
         pool, conn = await self._take(belief)
         try:
             async with self._talk(belief, pool, conn) as talk:
-                handle = await self._ask_prefill(talk, sending, placement.lane)
+                handle = await self._ask_prefill(talk, sending, placement.priority_class)
         except _conversation.AttemptFailed as exc:
             self._attempt += 1
             raise _conversation.AttemptFailed(
@@ -81,10 +81,10 @@
             ) from exc
         return f'{belief.entry.address}/{handle}'
 
-    async def _ask_prefill(self, talk, sending, lane):
+    async def _ask_prefill(self, talk, sending, priority_class):
         talk.send(sending)
         patience_s = self._left_s()
-        if lane is not dispatch.PriorityClass.BACKGROUND:
+        if priority_class is not dispatch.PriorityClass.BACKGROUND:
             patience_s = PREFILL_SILENCE_FACTOR * self._route.objective_s
         head = await talk.head(patience_s)
         body = await talk.body(patience_s)
