--- a/dandelionwinch/bench/overload/_engine.py
+++ b/dandelionwinch/bench/overload/_engine.py
@@ -38,7 +38,7 @@
     prompt: object
     events: int
     event_tokens: int
-    urgency: int
+    priority: int
     stage: Stage
     on_first: object
     on_end: object
@@ -76,7 +76,7 @@
             work.on_refused(now)
             return
         self._number += 1
-        heapq.heappush(self._waiting, (work.urgency, self._number, work))
+        heapq.heappush(self._waiting, (work.priority, self._number, work))
         self._fill(now)
 
     def crash(self):
@@ -116,7 +116,7 @@
         """Takes a slot; slots read one after another, by urgency."""
         self._free -= 1
         self._number += 1
-        heapq.heappush(self._to_read, (work.urgency, self._number, work))
+        heapq.heappush(self._to_read, (work.priority, self._number, work))
         self._read_next(now)
 
     def _read_next(self, now):
--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -54,9 +54,9 @@
         stage = _engine.Stage.PREFILL
         if placement.prefill is None:
             stage = _engine.Stage.DIRECT
-        self._submit(placement.reader, stage, placement.urgency, now)
+        self._submit(placement.reader, stage, placement.priority, now)
 
-    def _submit(self, belief, stage, urgency, now, source=None):
+    def _submit(self, belief, stage, priority, now, source=None):
         engine = self._day.engines[belief.entry.id]
         first, end = self._first, self._whole
         if stage is _engine.Stage.PREFILL:
@@ -65,7 +65,7 @@
             self._arrival.prompt,
             self._arrival.events,
             self._arrival.kind.event_tokens,
-            urgency,
+            priority,
             stage,
             self._delayed(first),
             self._delayed(end),
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -70,7 +70,7 @@
     terms: str
 
     @property
-    def urgency(self):
+    def priority(self):
         """Returns the urgency at the engine, 0 (first) to 9.
 
         In the background small prompts go first, as many of them are
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -68,7 +68,7 @@
     async def _prefill(self, placement):
         belief = placement.prefill
         sending = self._sending(
-            belief, prefill_only=True, urgency=placement.urgency
+            belief, prefill_only=True, priority=placement.priority
         )
         pool, conn = await self._take(belief)
         try:
@@ -129,11 +129,11 @@
     async def _answer_at(self, placement, source, began):
         belief = placement.decode
         pool, conn = await self._connect(belief)
-        urgency = placement.urgency
+        priority = placement.priority
         if source:
-            urgency = dispatch.HANDED_OVER_URGENCY
+            priority = dispatch.HANDED_OVER_URGENCY
             self._gateway.placer.handed_over(placement, self._loop.time())
-        sending = self._sending(belief, source=source, urgency=urgency)
+        sending = self._sending(belief, source=source, priority=priority)
         async with self._talk(belief, pool, conn) as talk:
             await self._stream(talk, sending, placement, began)
 
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -43,7 +43,7 @@
 
     upstream_id: str
     left_s: float
-    urgency: int | None = None
+    priority: int | None = None
     prefill_only: bool = False
     source: str = ''
     last_event: int | None = None
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -74,8 +74,8 @@
         pairs.append((TIMEOUT_MS, str(max(1, int(sending.left_s * 1e3)))))
         if sending.last_event is not None:
             pairs.append((LAST_EVENT_ID, str(sending.last_event)))
-        if sending.urgency is not None:
-            pairs.append((PRIORITY, str(sending.urgency)))
+        if sending.priority is not None:
+            pairs.append((PRIORITY, str(sending.priority)))
         if sending.prefill_only:
             pairs.append((STAGE, 'prefill'))
         if sending.source:
