--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -100,7 +100,7 @@
         self._submit(
             placement.decode,
             _engine.Stage.ANSWER,
-            dispatch.HANDED_OVER_URGENCY,
+            dispatch.HANDOVER_PRIORITY,
             now,
             self._day.engines[placement.prefill.entry.id],
         )
--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -4,7 +4,7 @@
 from dandelionwinch.dispatch._engines import EnginePlacer
 from dandelionwinch.dispatch._pace import RateLimiter
 from dandelionwinch.dispatch._plain import choose_plain
-from dandelionwinch.dispatch._prompts import HANDED_OVER_URGENCY
+from dandelionwinch.dispatch._prompts import HANDOVER_PRIORITY
 from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Placement
 from dandelionwinch.dispatch._prompts import Prompt
@@ -12,7 +12,7 @@
 from dandelionwinch.dispatch._roles import RoleOrder
 
 __all__ = [
-    'HANDED_OVER_URGENCY',
+    'HANDOVER_PRIORITY',
     'Distances',
     'EnginePlacer',
     'PriorityClass',
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -18,7 +18,7 @@
 
 
 # A prompt that was read elsewhere needs its engine for the shortest time.
-HANDED_OVER_URGENCY = 1
+HANDOVER_PRIORITY = 1
 URGENCY = {PriorityClass.ANSWER: 2, PriorityClass.URGENT: 5}
 RETURNED_URGENCY = 6
 BACKGROUND_SIZES = (1500, 4000)
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -131,7 +131,7 @@
         pool, conn = await self._connect(belief)
         priority = placement.priority
         if source:
-            priority = dispatch.HANDED_OVER_URGENCY
+            priority = dispatch.HANDOVER_PRIORITY
             self._gateway.placer.handed_over(placement, self._loop.time())
         sending = self._sending(belief, source=source, priority=priority)
         async with self._talk(belief, pool, conn) as talk:
