--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -19,7 +19,7 @@
         self.registry = upstreams.Registry()
         self.parts = 1.0
         self.table = None
-        self.typical = upstreams.Typical()
+        self.typical = upstreams.LatencyBaseline()
 
     def pool(self, belief):
         """Returns the connections to one incarnation of an upstream."""
--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -6,7 +6,7 @@
 from dandelionwinch.upstreams._beliefs import Registry
 from dandelionwinch.upstreams._beliefs import Entry
 from dandelionwinch.upstreams._beliefs import Role
-from dandelionwinch.upstreams._typical import Typical
+from dandelionwinch.upstreams._typical import LatencyBaseline
 
 __all__ = [
     'Absence',
@@ -14,6 +14,6 @@
     'Registry',
     'Entry',
     'Role',
-    'Typical',
+    'LatencyBaseline',
     'available',
 ]
--- a/dandelionwinch/upstreams/_typical.py
+++ b/dandelionwinch/upstreams/_typical.py
@@ -5,7 +5,7 @@
 TOLERANCE = 2.0
 
 
-class Typical:
+class LatencyBaseline:
     """Mean latency of each service, over all of its upstreams."""
 
     __slots__ = ('_by_service',)
