--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -189,7 +189,7 @@
         )
         way_s = self._gateway.distances.round_trip_s(belief.entry.data_centre)
         taken_s = now - began - way_s
-        excess_s = self._fleet.typical.excess_s(self._service, taken_s)
+        excess_s = self._fleet.latency_baseline.excess_s(self._service, taken_s)
         belief.succeeded(excess_s, now)
         if again:
             raise _conversation.AttemptFailed(
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -11,7 +11,7 @@
 class Fleet:
     """The upstreams as one instance uses them."""
 
-    __slots__ = ('_loop', '_pools', 'registry', 'parts', 'table', 'typical')
+    __slots__ = ('_loop', '_pools', 'registry', 'parts', 'table', 'latency_baseline')
 
     def __init__(self, loop):
         self._loop = loop
@@ -19,7 +19,7 @@
         self.registry = upstreams.Registry()
         self.parts = 1.0
         self.table = None
-        self.typical = upstreams.LatencyBaseline()
+        self.latency_baseline = upstreams.LatencyBaseline()
 
     def pool(self, belief):
         """Returns the connections to one incarnation of an upstream."""
