--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -49,7 +49,7 @@
         self._capacity = capacity
         self._log = log
         self._rng = rng
-        self._absence = upstreams.Absence()
+        self._absence = upstreams.DeregistrationGuard()
         self._revision = 0
         self._task = None
         self._synced = False
--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -1,6 +1,6 @@
 """What one instance believes of the upstreams, and why."""
 
-from dandelionwinch.upstreams._absence import Absence
+from dandelionwinch.upstreams._absence import DeregistrationGuard
 from dandelionwinch.upstreams._beliefs import available
 from dandelionwinch.upstreams._beliefs import Upstream
 from dandelionwinch.upstreams._beliefs import Registry
@@ -9,7 +9,7 @@
 from dandelionwinch.upstreams._typical import LatencyBaseline
 
 __all__ = [
-    'Absence',
+    'DeregistrationGuard',
     'Upstream',
     'Registry',
     'Entry',
--- a/dandelionwinch/upstreams/_absence.py
+++ b/dandelionwinch/upstreams/_absence.py
@@ -6,7 +6,7 @@
 MASS_SHARE = 0.5
 
 
-class Absence:
+class DeregistrationGuard:
     """Decides when a vanished entry means that its upstream is gone.
 
     While the store is away, entries lapse of upstreams that live; those
