--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -246,7 +246,7 @@
         known = sum(
             1 for b in self._gateway.fleet.registry if b.gone_at is None
         )
-        for name in self._absence.vanished(upstream_ids, known, now):
+        for name in self._absence.deregistered(upstream_ids, known, now):
             self._gone(name, now, held=False)
 
     def _settle(self, now):
--- a/dandelionwinch/upstreams/_absence.py
+++ b/dandelionwinch/upstreams/_absence.py
@@ -25,7 +25,7 @@
         """Notes a failed call of the store."""
         self._back_at = now
 
-    def vanished(self, upstream_ids, known, now):
+    def deregistered(self, upstream_ids, known, now):
         """Takes entries that vanished together.
 
         Args:
