--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -221,7 +221,7 @@
             return
         known = registry.get(name)
         before = known.entry if known else None
-        self._absence.returned(name)
+        self._absence.registered(name)
         if registry.apply(entry):
             self._gateway.placer.forget(name)
         if before is not None and before.role is not entry.role:
--- a/dandelionwinch/upstreams/_absence.py
+++ b/dandelionwinch/upstreams/_absence.py
@@ -51,7 +51,7 @@
             return None
         return max(0.0, min(self._held.values()) - now)
 
-    def returned(self, upstream_id):
+    def registered(self, upstream_id):
         """Notes that an entry is there."""
         self._held.pop(upstream_id, None)
 
