--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -22,7 +22,7 @@
     """A task that owns what is known from the store."""
 
     __slots__ = (
-        '_absence',
+        '_guard',
         '_capacity',
         '_catalogue',
         '_gateway',
@@ -49,7 +49,7 @@
         self._capacity = capacity
         self._log = log
         self._rng = rng
-        self._absence = upstreams.DeregistrationGuard()
+        self._guard = upstreams.DeregistrationGuard()
         self._revision = 0
         self._task = None
         self._synced = False
@@ -103,7 +103,7 @@
         if self._synced:
             self._log.event('store.lost', reason=str(exc))
         self._synced = False
-        self._absence.store_failed(self._loop.time())
+        self._guard.store_failed(self._loop.time())
 
     def _reached(self):
         if not self._synced:
@@ -138,7 +138,7 @@
         self._settle(now)
 
     async def _watch(self):
-        due_s = self._absence.next_due_s(self._loop.time())
+        due_s = self._guard.next_due_s(self._loop.time())
         wait_s = WATCH_S if due_s is None else min(WATCH_S, due_s)
         listing = await self._store.watch(EVERYTHING, self._revision, wait_s)
         now = self._loop.time()
@@ -221,7 +221,7 @@
             return
         known = registry.get(name)
         before = known.entry if known else None
-        self._absence.registered(name)
+        self._guard.registered(name)
         if registry.apply(entry):
             self._gateway.placer.forget(name)
         if before is not None and before.role is not entry.role:
@@ -246,13 +246,13 @@
         known = sum(
             1 for b in self._gateway.fleet.registry if b.gone_at is None
         )
-        for name in self._absence.deregistered(upstream_ids, known, now):
+        for name in self._guard.deregistered(upstream_ids, known, now):
             self._gone(name, now, held=False)
 
     def _settle(self, now):
         """Does what is due after each answer of the store."""
         self._gateway.set_parts(self.members.parts(self._capacity, now))
-        for name in self._absence.due(now):
+        for name in self._guard.due(now):
             self._gone(name, now, held=True)
 
     def _gone(self, name, now, held):
