--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_steward.py
@@ -177,7 +177,7 @@
             engines = [
                 b
                 for b in fleet.registry.serving(service.name)
-                if b.changing_until <= now
+                if b.role_change_until <= now
             ]
             change = dispatch.plan_role(
                 engines, self._gateway.placer.answers(now)
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -89,7 +89,7 @@
             A Placement, or None if no engine has room for it.
         """
         fresh = [b for b in beliefs if b.entry.id not in exclude]
-        settled = [b for b in fresh if b.changing_until <= now]
+        settled = [b for b in fresh if b.role_change_until <= now]
         usable = upstreams.available(settled or fresh, now)
         layout = _layout.lay_out(usable)
         if layout is None:
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -121,13 +121,13 @@
         """Keeps requests away from an engine that changes its role."""
         belief = self.fleet.registry.get(upstream_id)
         if belief is not None:
-            belief.changing_until = self.loop.time() + span_s
+            belief.role_change_until = self.loop.time() + span_s
 
     def changed(self, upstream_id):
         """Lets an engine that has its new role take requests."""
         belief = self.fleet.registry.get(upstream_id)
         if belief is not None:
-            belief.changing_until = 0.0
+            belief.role_change_until = 0.0
 
     def spend_retry(self, service):
         """Takes a retry out of the shared budget."""
--- a/dandelionwinch/upstreams/_beliefs.py
+++ b/dandelionwinch/upstreams/_beliefs.py
@@ -60,7 +60,7 @@
     failures: float = 0.0
     excess_s: float = 0.0
     active: int = 0
-    changing_until: float = 0.0
+    role_change_until: float = 0.0
     ejected_until: float = 0.0
     ejections: int = 0
     observed_at: float = 0.0
