--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -56,8 +56,8 @@
             stage = _engine.Stage.DIRECT
         self._submit(placement.reader, stage, placement.priority, now)
 
-    def _submit(self, belief, stage, priority, now, source=None):
-        engine = self._day.engines[belief.entry.id]
+    def _submit(self, upstream, stage, priority, now, source=None):
+        engine = self._day.engines[upstream.entry.id]
         first, end = self._first, self._whole
         if stage is _engine.Stage.PREFILL:
             first, end = self._read, self._ignore
@@ -144,10 +144,10 @@
         """Ends the request at its instance."""
         self._ended = True
         placement = self._placement
-        belief = placement.reader
+        upstream = placement.reader
         if self._work.stage is _engine.Stage.ANSWER:
-            belief = placement.decode
-        belief.active -= 1
+            upstream = placement.decode
+        upstream.active -= 1
         self._placer.ended(placement)
 
     def _refused(self, now):
--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -36,11 +36,11 @@
         self._dialect = dialect
         self._name = name
 
-    async def send(self, belief, change, token, may_order):
+    async def send(self, upstream, change, token, may_order):
         """Sends an order that holds only for the engine's present state.
 
         Args:
-            belief: The engine.
+            upstream: The engine.
             change: The RoleOrder.
             token: Fencing token.
             may_order: Function that tells whether it may be sent now.
@@ -48,7 +48,7 @@
         Returns:
             Sent.
         """
-        pool = self._fleet.pool(belief)
+        pool = self._fleet.pool(upstream)
         try:
             accepted = await self._accepted(pool, change.upstream_id)
             if accepted is None:
--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_steward.py
@@ -156,7 +156,7 @@
         if change is None:
             return
         self._next_at = now + SETTLE_S
-        belief = self._gateway.fleet.registry.get(change.upstream_id)
+        upstream = self._gateway.fleet.registry.get(change.upstream_id)
         await self._store.put(
             CHANGE_PREFIX + change.upstream_id,
             change.role.value.encode(),
@@ -165,8 +165,8 @@
         self._gateway.changing(change.upstream_id, CHANGE_S)
         await asyncio.sleep(ANNOUNCE_S)
         await self._renew()
-        if self._gateway.fleet.registry.serves(belief):
-            await self._order(belief, change)
+        if self._gateway.fleet.registry.serves(upstream):
+            await self._order(upstream, change)
         self._next_at = self._loop.time() + SETTLE_S
 
     def _plan(self, now):
@@ -186,9 +186,9 @@
                 return change
         return None
 
-    async def _order(self, belief, change):
+    async def _order(self, upstream, change):
         sent = await self._sender.send(
-            belief, change, self._leadership.token, self._may_order
+            upstream, change, self._leadership.token, self._may_order
         )
         self._log.event(
             'orders.sent',
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -125,10 +125,10 @@
             self._apply(item, now)
         self._vanish(
             [
-                belief.entry.id
-                for belief in self._gateway.fleet.registry
-                if belief.gone_at is None
-                and self._catalogue.key_of(belief.entry.id) not in keys
+                upstream.entry.id
+                for upstream in self._gateway.fleet.registry
+                if upstream.gone_at is None
+                and self._catalogue.key_of(upstream.entry.id) not in keys
             ],
             now,
         )
@@ -188,8 +188,8 @@
             return
         name = item.key.removeprefix(_steward.CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
-        belief = self._gateway.fleet.registry.get(name)
-        if belief is None or belief.entry.role.value == role:
+        upstream = self._gateway.fleet.registry.get(name)
+        if upstream is None or upstream.entry.role.value == role:
             return
         self._gateway.changing(name, _steward.CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
--- a/dandelionwinch/gateway/_call.py
+++ b/dandelionwinch/gateway/_call.py
@@ -12,18 +12,18 @@
     async def _attempt_once(self):
         """Sends the call to one upstream and hands its answer on."""
         now = self._loop.time()
-        belief = dispatch.choose_plain(
+        upstream = dispatch.choose_plain(
             self._fleet.registry.serving(self._service),
             self._tried | self._full,
             self._gateway.distances,
             self._gateway.rng,
             now,
         )
-        if belief is None:
+        if upstream is None:
             raise self._nowhere()
-        sending = self._sending(belief)
-        pool, conn = await self._connect(belief)
+        sending = self._sending(upstream)
+        pool, conn = await self._connect(upstream)
         began = self._loop.time()
-        async with self._talk(belief, pool, conn) as talk:
+        async with self._talk(upstream, pool, conn) as talk:
             answer = await talk.ask(sending, self._patience_s())
-        self._accept(belief, answer, began)
+        self._accept(upstream, answer, began)
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -181,16 +181,16 @@
         headers = answer.head.end_to_end()
         self._caller.answer(answer.head.status, headers, answer.body)
 
-    def _accept(self, belief, answer, began):
+    def _accept(self, upstream, answer, began):
         now = self._loop.time()
         again = (
             answer.head.status >= SERVER_ERROR
             and self._route.repeat is not routes.Repeat.ONCE
         )
-        way_s = self._gateway.distances.round_trip_s(belief.entry.data_centre)
+        way_s = self._gateway.distances.round_trip_s(upstream.entry.data_centre)
         taken_s = now - began - way_s
         excess_s = self._fleet.latency_baseline.excess_s(self._service, taken_s)
-        belief.succeeded(excess_s, now)
+        upstream.succeeded(excess_s, now)
         if again:
             raise _conversation.AttemptFailed(
                 attempts.Fate.FAILED,
@@ -217,63 +217,63 @@
         silence_s = FIRST_SILENCE_FACTOR * route.objective_s
         return min(left_s, max(LEAST_SILENCE_S, silence_s))
 
-    async def _take(self, belief, fresh_s=0.0):
+    async def _take(self, upstream, fresh_s=0.0):
         """Takes a connection to an upstream that still serves.
 
         Raises:
             AttemptFailed: If there is none; nothing was sent.
         """
-        pool = self._fleet.pool(belief)
-        self.upstream_id = belief.entry.id
+        pool = self._fleet.pool(upstream)
+        self.upstream_id = upstream.entry.id
         try:
             conn = await pool.take(
                 min(TAKE_TIMEOUT_S, self._left_s()), fresh_s=fresh_s
             )
         except _pool.PoolBusy as exc:
-            raise self._not_sent(belief, str(exc)) from exc
+            raise self._not_sent(upstream, str(exc)) from exc
         except _pool.NotConnected as exc:
             now = self._loop.time()
-            belief.failed(now)
-            belief.eject(now)
-            raise self._not_sent(belief, str(exc)) from exc
-        if not self._fleet.registry.serves(belief):
+            upstream.failed(now)
+            upstream.eject(now)
+            raise self._not_sent(upstream, str(exc)) from exc
+        if not self._fleet.registry.serves(upstream):
             # It has begun to leave while this request waited.
             pool.give_unused(conn)
-            reason = f'upstream "{belief.entry.id}" is leaving'
-            raise self._not_sent(belief, reason)
+            reason = f'upstream "{upstream.entry.id}" is leaving'
+            raise self._not_sent(upstream, reason)
         return pool, conn
 
-    def _not_sent(self, belief, reason):
-        self._full.add(belief.entry.id)
+    def _not_sent(self, upstream, reason):
+        self._full.add(upstream.entry.id)
         return _conversation.AttemptFailed(attempts.Fate.NOT_SENT, reason)
 
-    async def _connect(self, belief):
+    async def _connect(self, upstream):
         """Takes a connection, and a retry out of the budget if need be."""
         fresh_s = 0.0
         if self._route.repeat is routes.Repeat.ONCE:
             fresh_s = FRESH_ONCE_S
-        pool, conn = await self._take(belief, fresh_s)
+        pool, conn = await self._take(upstream, fresh_s)
         if self._attempt and not self._gateway.spend_retry(self._service):
             pool.give_unused(conn)
             raise _conversation.NoFurtherAttempt(
                 self._fates[-1], 'the retry budget is spent', self._relayed
             )
         self._attempt += 1
-        self._tried.add(belief.entry.id)
+        self._tried.add(upstream.entry.id)
         return pool, conn
 
-    def _sending(self, belief, **more):
+    def _sending(self, upstream, **more):
         return _inquiry.Sending(
-            belief.entry.id,
+            upstream.entry.id,
             self._left_s(),
             last_event=self._last_event,
             **more,
         )
 
     @contextlib.asynccontextmanager
-    async def _talk(self, belief, pool, conn):
+    async def _talk(self, upstream, pool, conn):
         """Lends a connection for one attempt; a whole answer keeps it."""
-        belief.active += 1
+        upstream.active += 1
         try:
             yield _conversation.Conversation(
                 self._loop,
@@ -286,8 +286,8 @@
             pool.discard(conn)
             fate = getattr(exc, 'fate', None)
             if fate is attempts.Fate.UNKNOWN:
-                belief.failed(self._loop.time())
+                upstream.failed(self._loop.time())
             raise
         finally:
-            belief.active -= 1
+            upstream.active -= 1
         pool.give(conn)
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -21,9 +21,9 @@
         self.table = None
         self.latency_baseline = upstreams.LatencyBaseline()
 
-    def pool(self, belief):
+    def pool(self, upstream):
         """Returns the connections to one incarnation of an upstream."""
-        entry = belief.entry
+        entry = upstream.entry
         key = (entry.id, entry.born, entry.address)
         pool = self._pools.get(key)
         limit = self._limit(entry.service)
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -119,15 +119,15 @@
 
     def changing(self, upstream_id, span_s):
         """Keeps requests away from an engine that changes its role."""
-        belief = self.fleet.registry.get(upstream_id)
-        if belief is not None:
-            belief.role_change_until = self.loop.time() + span_s
+        upstream = self.fleet.registry.get(upstream_id)
+        if upstream is not None:
+            upstream.role_change_until = self.loop.time() + span_s
 
     def changed(self, upstream_id):
         """Lets an engine that has its new role take requests."""
-        belief = self.fleet.registry.get(upstream_id)
-        if belief is not None:
-            belief.role_change_until = 0.0
+        upstream = self.fleet.registry.get(upstream_id)
+        if upstream is not None:
+            upstream.role_change_until = 0.0
 
     def spend_retry(self, service):
         """Takes a retry out of the shared budget."""
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -66,20 +66,20 @@
         )
 
     async def _prefill(self, placement):
-        belief = placement.prefill
+        upstream = placement.prefill
         sending = self._sending(
-            belief, prefill_only=True, priority=placement.priority
+            upstream, prefill_only=True, priority=placement.priority
         )
-        pool, conn = await self._take(belief)
+        pool, conn = await self._take(upstream)
         try:
-            async with self._talk(belief, pool, conn) as talk:
+            async with self._talk(upstream, pool, conn) as talk:
                 handle = await self._ask_prefill(talk, sending, placement.priority_class)
         except _conversation.AttemptFailed as exc:
             self._attempt += 1
             raise _conversation.AttemptFailed(
                 attempts.Fate.NOT_EXECUTED, f'prefill: {exc}'
             ) from exc
-        return f'{belief.entry.address}/{handle}'
+        return f'{upstream.entry.address}/{handle}'
 
     async def _ask_prefill(self, talk, sending, priority_class):
         talk.send(sending)
@@ -127,14 +127,14 @@
             await self._answer_at(direct, '', now)
 
     async def _answer_at(self, placement, source, began):
-        belief = placement.decode
-        pool, conn = await self._connect(belief)
+        upstream = placement.decode
+        pool, conn = await self._connect(upstream)
         priority = placement.priority
         if source:
             priority = dispatch.HANDOVER_PRIORITY
             self._gateway.placer.handed_over(placement, self._loop.time())
-        sending = self._sending(belief, source=source, priority=priority)
-        async with self._talk(belief, pool, conn) as talk:
+        sending = self._sending(upstream, source=source, priority=priority)
+        async with self._talk(upstream, pool, conn) as talk:
             await self._stream(talk, sending, placement, began)
 
     async def _stream(self, talk, sending, placement, began):
@@ -203,7 +203,7 @@
         self.first_event_s = self.first_event_s or now - self._began
         self._gateway.placer.started(placement, now - began, now)
 
-    async def _whole_failure(self, talk, head, belief, patience_s):
+    async def _whole_failure(self, talk, head, upstream, patience_s):
         """Reads an answer that is not a stream of events."""
         answer = _conversation.Answer(head, await talk.body(patience_s))
         talk.check_executed(answer)
@@ -211,4 +211,4 @@
             raise _conversation.AttemptFailed(
                 attempts.Fate.FAILED, f'status {head.status} on resumption'
             )
-        self._accept(belief, answer, self._loop.time())
+        self._accept(upstream, answer, self._loop.time())
