--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -274,7 +274,7 @@
     def _placer(self, work):
         """Returns the placer of the usual decider of a data centre."""
         names = range(self.trace.instances)
-        decider = placement.usual_decider(names, work.job.data_centre, 'm')
+        decider = placement.choose_owner(names, work.job.data_centre, 'm')
         return self._placers[decider]
 
     def place(self, work, now):
--- a/dandelionwinch/daemon/_deciders.py
+++ b/dandelionwinch/daemon/_deciders.py
@@ -53,7 +53,7 @@
         }
         if not near:
             return None
-        name = placement.usual_decider(near, core.data_centre, model)
+        name = placement.choose_owner(near, core.data_centre, model)
         if name == core.name or self._resting_until.get(name, now) > now:
             return None
         return near[name]
--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -4,7 +4,7 @@
 from dandelionwinch.placement._beliefs import LoadEstimates
 from dandelionwinch.placement._beliefs import Report
 from dandelionwinch.placement._decider import Query
-from dandelionwinch.placement._decider import usual_decider
+from dandelionwinch.placement._decider import choose_owner
 from dandelionwinch.placement._placer import Choice
 from dandelionwinch.placement._placer import Demand
 from dandelionwinch.placement._placer import Placer
@@ -33,5 +33,5 @@
     'Trend',
     'plan_roles',
     'served_share',
-    'usual_decider',
+    'choose_owner',
 ]
--- a/dandelionwinch/placement/_decider.py
+++ b/dandelionwinch/placement/_decider.py
@@ -28,7 +28,7 @@
     exclude: frozenset = frozenset()
 
 
-def usual_decider(names, data_centre, model):
+def choose_owner(names, data_centre, model):
     """Returns the name of the usual decider.
 
     Args:
