--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -137,7 +137,7 @@
             return
         self._work.left = True
         self._finish()
-        self._day.vain_tokens += self._placement.fresh_tokens
+        self._day.vain_tokens += self._placement.uncached_tokens
         self._day.tallies[self._arrival.kind.name].unserved += 1
 
     def _finish(self):
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -328,7 +328,7 @@
         """
         reader = placement.prefill
         self._overdue.done(reader.entry.id, placement)
-        tokens = placement.fresh_tokens
+        tokens = placement.uncached_tokens
         work_s = self._round_trip_s(reader) + tokens / self._speed(reader)
         self._learn(reader, placement, taken_s, work_s, now)
 
@@ -367,7 +367,7 @@
             return
         self._speeds.learn(
             reader.entry,
-            placement.fresh_tokens,
+            placement.uncached_tokens,
             taken_s - self._round_trip_s(reader),
         )
         stuck_s = self._transfers.overdue_s(reader, now)
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -65,7 +65,7 @@
     priority_class: PriorityClass
     late: bool
     objective_s: float
-    fresh_tokens: int
+    uncached_tokens: int
     work_s: float
     terms: str
 
@@ -81,7 +81,7 @@
             return URGENCY[self.priority_class]
         if self.late:
             return RETURNED_URGENCY
-        sizes = bisect.bisect(BACKGROUND_SIZES, self.fresh_tokens)
+        sizes = bisect.bisect(BACKGROUND_SIZES, self.uncached_tokens)
         return RETURNED_URGENCY + 1 + sizes
 
     @property
