--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -76,4 +76,4 @@
         """Takes what the product's placement learns from."""
 
     sent = prefilled = handed_over = started = ended = _learn_nothing
-    paused = handle_refused = _learn_nothing
+    token_gap = handle_refused = _learn_nothing
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -379,7 +379,7 @@
             now,
         )
 
-    def paused(self, placement, gap_s, allowed_s, now):
+    def token_gap(self, placement, gap_s, allowed_s, now):
         """Learns from the pause between two events of an answer."""
         if allowed_s and gap_s > PAUSE_SHARE * allowed_s:
             belief = placement.decode
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -157,7 +157,7 @@
                     self._started(placement, began)
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
-                    self._gateway.placer.paused(
+                    self._gateway.placer.token_gap(
                         placement, now - last_at, self._route.gap_s, now
                     )
                 last_at = now
