--- a/dandelionwinch/bench/_placement.py
+++ b/dandelionwinch/bench/_placement.py
@@ -84,7 +84,7 @@
         mine = tuple(members[:: max(1, models)])
         if mine:
             sites.append(
-                placement.Site(
+                placement.CandidatePool(
                     f'data_centre-{data_centre}',
                     mine,
                     0.02 * bool(data_centre),
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -139,7 +139,7 @@
                 for upstream in catalog.upstreams_of(pool.name)
                 if upstream.state is settings.UpstreamState.ACTIVE
             )
-            sites.append(placement.Site(pool.name, names, extra_s))
+            sites.append(placement.CandidatePool(pool.name, names, extra_s))
         sites.sort(key=lambda site: (site.extra_s, site.name))
         return sites
 
--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -9,7 +9,7 @@
 from dandelionwinch.placement._placer import Demand
 from dandelionwinch.placement._placer import Placer
 from dandelionwinch.placement._placer import Refusal
-from dandelionwinch.placement._placer import Site
+from dandelionwinch.placement._placer import CandidatePool
 from dandelionwinch.placement._prefixes import Prefixes
 from dandelionwinch.placement._roles import Capacity
 from dandelionwinch.placement._roles import plan_roles
@@ -29,7 +29,7 @@
     'Refusal',
     'Report',
     'RoleChange',
-    'Site',
+    'CandidatePool',
     'Trend',
     'plan_roles',
     'served_share',
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class Site:
+class CandidatePool:
     """The upstreams of one pool, and how far away they are.
 
     Attributes:
