--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -129,18 +129,18 @@
         link = catalog.link()
         sites = []
         for pool in pools:
-            extra_s = 0.0
+            link_cost_s = 0.0
             if pool.data_centre != here:
-                extra_s = link.latency_s
+                link_cost_s = link.latency_s
             if catalog.region_of(pool.data_centre) != region:
-                extra_s += 2 * link.latency_s + _link_s(link, query)
+                link_cost_s += 2 * link.latency_s + _link_s(link, query)
             names = tuple(
                 upstream.name
                 for upstream in catalog.upstreams_of(pool.name)
                 if upstream.state is settings.UpstreamState.ACTIVE
             )
-            sites.append(placement.CandidatePool(pool.name, names, extra_s))
-        sites.sort(key=lambda site: (site.extra_s, site.name))
+            sites.append(placement.CandidatePool(pool.name, names, link_cost_s))
+        sites.sort(key=lambda site: (site.link_cost_s, site.name))
         return sites
 
     def _note(self, message, choice, now):
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -50,7 +50,7 @@
 
     name: str
     upstreams: tuple[str, ...]
-    extra_s: float
+    link_cost_s: float
 
 
 @attrs.frozen
@@ -91,11 +91,11 @@
     own_s: float
     speed: float
     hit: float
-    extra_s: float
+    link_cost_s: float
 
     @property
     def total_s(self):
-        return self.wait_s + self.own_s + self.extra_s
+        return self.wait_s + self.own_s + self.link_cost_s
 
 
 class Placer:
@@ -253,7 +253,7 @@
         backlog = belief.backlog(now, speed, inflow * speed)
         wait_s = backlog / speed
         own_s = (demand.prompt_tokens - hit) / speed
-        return _Option(belief, wait_s, own_s, speed, hit, site.extra_s)
+        return _Option(belief, wait_s, own_s, speed, hit, site.link_cost_s)
 
     def _draw(self, options, arriving, now):
         index = _filling.choose_filling(
@@ -293,7 +293,7 @@
             first_s += HANDOVER_S
         terms = (
             f'wait {option.wait_s:.3f} s, prefill {option.own_s:.3f} s, '
-            f'distance {option.extra_s:.3f} s, cached {option.hit:.0f} of '
+            f'distance {option.link_cost_s:.3f} s, cached {option.hit:.0f} of '
             f'{demand.prompt_tokens} tokens, role {belief.role}, '
             f'{belief.decoding()} decoding'
         )
