--- a/dandelionwinch/bench/_placement.py
+++ b/dandelionwinch/bench/_placement.py
@@ -43,7 +43,7 @@
             output_tokens=20,
             prefix=rng.randrange(TEAMS),
             prefix_tokens=700,
-            patience_s=5.0,
+            max_wait_s=5.0,
             gap_s=0.041,
         )
         now = number * 0.05
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -114,7 +114,7 @@
             output_tokens=query.output_tokens,
             prefix=query.prefix,
             prefix_tokens=query.prompt_tokens,
-            patience_s=DEFAULT_PATIENCE_S,
+            max_wait_s=DEFAULT_PATIENCE_S,
             gap_s=model.token_gap_s,
             exclude=query.exclude,
         )
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -34,7 +34,7 @@
     output_tokens: int
     prefix: int
     prefix_tokens: int
-    patience_s: float
+    max_wait_s: float
     gap_s: float
     exclude: frozenset = frozenset()
 
@@ -154,14 +154,14 @@
                 continue
             if best is None or option.total_s < best.total_s:
                 best = option
-            if best.total_s <= demand.patience_s / 2:
+            if best.total_s <= demand.max_wait_s / 2:
                 break
         if best is None:
             return Refusal('no upstream takes this work at present', 1.0)
-        if best.total_s > demand.patience_s:
+        if best.total_s > demand.max_wait_s:
             return Refusal(
                 f'the first token would take {best.total_s:.2f} s',
-                round(max(0.1, best.total_s - demand.patience_s), 2),
+                round(max(0.1, best.total_s - demand.max_wait_s), 2),
             )
         return self._commit(best, demand, now, sites)
 
