--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -57,7 +57,7 @@
         '_running',
         '_speeds',
         '_transfers',
-        'parts',
+        'instance_count',
     )
 
     def __init__(self, distances, rng):
@@ -69,7 +69,7 @@
         self._speeds = _speeds.Speeds()
         self._running = _running.Running()
         self._paces = {}
-        self.parts = 1.0
+        self.instance_count = 1.0
 
     def place(
         self, prompt, beliefs, exclude, now, *, direct, late, objective_s
@@ -168,10 +168,10 @@
 
     def answers(self, now):
         """Returns the recent peak of answers that all instances make."""
-        return self._running.peak_of_answers(now) * self.parts
+        return self._running.peak_of_answers(now) * self.instance_count
 
     def _has_slot(self, belief):
-        slots = ANSWER_SLOT_SHARE * belief.entry.slots / self.parts
+        slots = ANSWER_SLOT_SHARE * belief.entry.slots / self.instance_count
         return self._running.answers(belief.entry.id) < max(1.0, slots)
 
     def _answer_cost_s(self, belief, now):
@@ -189,7 +189,7 @@
             return False
         if self._delay_s(belief, now) > BACKGROUND_DELAY_S:
             return False
-        room = BACKGROUND_PER_SLOT * belief.entry.slots / self.parts
+        room = BACKGROUND_PER_SLOT * belief.entry.slots / self.instance_count
         if late:
             room *= RETURNED_ROOM
         return self._running.background(belief.entry.id) < max(1.0, room)
@@ -214,7 +214,7 @@
     def _pace(self, belief, now):
         pace = self._paces.get(belief.entry.id)
         if pace is None:
-            pace = _pace.RateLimiter(self._speed(belief), self.parts, now)
+            pace = _pace.RateLimiter(self._speed(belief), self.instance_count, now)
             self._paces[belief.entry.id] = pace
         return pace
 
@@ -375,7 +375,7 @@
             max(excess_s, stuck_s),
             placement.objective_s,
             self._speed(reader),
-            self.parts,
+            self.instance_count,
             now,
         )
 
--- a/dandelionwinch/dispatch/_pace.py
+++ b/dandelionwinch/dispatch/_pace.py
@@ -44,10 +44,10 @@
         '_speed',
     )
 
-    def __init__(self, speed, parts, now):
+    def __init__(self, speed, instance_count, now):
         self._speed = speed
-        self._parts = parts
-        self._rate = min(speed, FIRST_SHARE * speed / parts)
+        self._parts = instance_count
+        self._rate = min(speed, FIRST_SHARE * speed / instance_count)
         self._balance = self._rate * BURST_S
         self._read_at = now
         self._changed_at = now
@@ -81,7 +81,7 @@
         self._balance = min(most, self._balance + earned)
         self._read_at = now
 
-    def observe(self, excess_s, objective_s, speed, parts, now):
+    def observe(self, excess_s, objective_s, speed, instance_count, now):
         """Adjusts the rate by one first token.
 
         Args:
@@ -92,7 +92,7 @@
             now: Time in seconds.
         """
         self._speed = speed
-        self._parts = parts
+        self._parts = instance_count
         if excess_s > HIGH_SHARE * objective_s:
             self.slow_down(now)
         elif excess_s < LOW_SHARE * objective_s and self._limited:
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -11,13 +11,13 @@
 class Fleet:
     """The upstreams as one instance uses them."""
 
-    __slots__ = ('_loop', '_pools', 'registry', 'parts', 'table', 'latency_baseline')
+    __slots__ = ('_loop', '_pools', 'registry', 'instance_count', 'table', 'latency_baseline')
 
     def __init__(self, loop):
         self._loop = loop
         self._pools = {}
         self.registry = upstreams.Registry()
-        self.parts = 1.0
+        self.instance_count = 1.0
         self.table = None
         self.latency_baseline = upstreams.LatencyBaseline()
 
@@ -36,7 +36,7 @@
     def _limit(self, service):
         known = self.table.services.get(service) if self.table else None
         most = known.max_connections if known else DEFAULT_CONNECTIONS
-        return max(2, int(most * CONNECTION_SHARE / self.parts))
+        return max(2, int(most * CONNECTION_SHARE / self.instance_count))
 
     def sweep(self, now):
         """Closes idle connections and those to upstreams that are gone."""
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -112,10 +112,10 @@
         """Notes a request that was refused before it was whole."""
         self.log.event('request.refused', status=status, reason=reason)
 
-    def set_instance_count(self, parts):
+    def set_instance_count(self, instance_count):
         """Takes the number of parts like its own that limits are cut in."""
-        self.fleet.parts = parts
-        self.placer.parts = parts
+        self.fleet.instance_count = instance_count
+        self.placer.instance_count = instance_count
 
     def changing(self, upstream_id, span_s):
         """Keeps requests away from an engine that changes its role."""
@@ -131,7 +131,7 @@
 
     def spend_retry(self, service):
         """Takes a retry out of the shared budget."""
-        return self.budget.spend(service, self.fleet.parts, self.loop.time())
+        return self.budget.spend(service, self.fleet.instance_count, self.loop.time())
 
     def log_placement(self, request_id, placement):
         """Logs where a generation goes, and why."""
