--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -15,7 +15,7 @@
     if name != 'winch':
         return _Baseline(name, rng)
     made = dispatch.EnginePlacer(distances, rng)
-    made.parts = parts
+    made.instance_count = parts
     return made
 
 
--- a/dandelionwinch/dispatch/_pace.py
+++ b/dandelionwinch/dispatch/_pace.py
@@ -36,7 +36,7 @@
     __slots__ = (
         '_balance',
         '_changed_at',
-        '_parts',
+        '_instance_count',
         '_limited',
         '_mean',
         '_rate',
@@ -46,7 +46,7 @@
 
     def __init__(self, speed, instance_count, now):
         self._speed = speed
-        self._parts = instance_count
+        self._instance_count = instance_count
         self._rate = min(speed, FIRST_SHARE * speed / instance_count)
         self._balance = self._rate * BURST_S
         self._read_at = now
@@ -92,7 +92,7 @@
             now: Time in seconds.
         """
         self._speed = speed
-        self._parts = instance_count
+        self._instance_count = instance_count
         if excess_s > HIGH_SHARE * objective_s:
             self.slow_down(now)
         elif excess_s < LOW_SHARE * objective_s and self._limited:
@@ -107,13 +107,13 @@
         if now - self._changed_at < STEP_S:
             return
         self._refill(now)
-        least = LEAST_SHARE * self._speed / self._parts
+        least = LEAST_SHARE * self._speed / self._instance_count
         self._rate = max(least, min(MOST_SHARE * self._speed, rate))
         self._changed_at = now
 
     def is_untouched(self):
         """Tells whether no delay has lowered the rate."""
-        first = FIRST_SHARE * self._speed / self._parts
+        first = FIRST_SHARE * self._speed / self._instance_count
         return self._rate >= min(self._speed, first) * UNTOUCHED_SHARE
 
     @property
