--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -34,12 +34,12 @@
 
     tokens: int
     output_tokens: int
-    parts: tuple[tuple[str, int], ...] = ()
+    prefix_blocks: tuple[tuple[str, int], ...] = ()
 
     @property
     def shared(self):
         """Returns the parts that other requests may have too."""
-        return self.parts[:-1]
+        return self.prefix_blocks[:-1]
 
     @property
     def short(self):
