--- a/dandelionwinch/dispatch/_cached.py
+++ b/dandelionwinch/dispatch/_cached.py
@@ -15,7 +15,7 @@
     def hit(self, prompt, upstream_id, now):
         """Returns tokens of a prompt that an engine is believed to hold."""
         hit = 0
-        for part_id, tokens in prompt.shared:
+        for part_id, tokens in prompt.shared_blocks:
             sent_at = self._sent_at.get(part_id, {}).get(upstream_id)
             if sent_at is None or now - sent_at > KEEP_S:
                 break
@@ -24,7 +24,7 @@
 
     def sent(self, prompt, upstream_id, now):
         """Notes that an engine gets a prompt; drops the oldest parts."""
-        for part_id, _tokens in prompt.shared:
+        for part_id, _tokens in prompt.shared_blocks:
             engines = self._sent_at.pop(part_id, None) or {}
             engines[upstream_id] = now
             self._sent_at[part_id] = engines
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -203,7 +203,7 @@
 
     def _rank(self, prompt, layout):
         """Returns the function that ranks engines for a prompt's session."""
-        key = prompt.shared[-1][0] if prompt.shared else self._rng.random()
+        key = prompt.shared_blocks[-1][0] if prompt.shared_blocks else self._rng.random()
 
         def score(belief):
             weight = self._weight(belief, layout)
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -37,7 +37,7 @@
     prefix_blocks: tuple[tuple[str, int], ...] = ()
 
     @property
-    def shared(self):
+    def shared_blocks(self):
         """Returns the parts that other requests may have too."""
         return self.prefix_blocks[:-1]
 
