--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -49,12 +49,12 @@
             return
         self._placement = placement
         self._placer.sent(self._arrival.prompt, placement, now)
-        placement.reader.active += 1
+        placement.prefill_engine.active += 1
         self._day.schedule(now + left_s, self._deadline)
         stage = _engine.Stage.PREFILL
         if placement.prefill is None:
             stage = _engine.Stage.DIRECT
-        self._submit(placement.reader, stage, placement.priority, now)
+        self._submit(placement.prefill_engine, stage, placement.priority, now)
 
     def _submit(self, upstream, stage, priority, now, source=None):
         engine = self._day.engines[upstream.entry.id]
@@ -95,7 +95,7 @@
         placement = self._placement
         self._placer.prefilled(placement, now - self._sent_at, now)
         self._placer.handed_over(placement, now)
-        placement.reader.active -= 1
+        placement.prefill_engine.active -= 1
         placement.decode.active += 1
         self._submit(
             placement.decode,
@@ -144,7 +144,7 @@
         """Ends the request at its instance."""
         self._ended = True
         placement = self._placement
-        upstream = placement.reader
+        upstream = placement.prefill_engine
         if self._work.stage is _engine.Stage.ANSWER:
             upstream = placement.decode
         upstream.active -= 1
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -288,7 +288,7 @@
 
     def sent(self, prompt, placement, now):
         """Notes that an engine gets a prompt."""
-        upstream_id = placement.reader.entry.id
+        upstream_id = placement.prefill_engine.entry.id
         self._cached.sent(prompt, upstream_id, now)
         if placement.priority_class is _prompts.PriorityClass.URGENT:
             due_at = now + placement.work_s
@@ -314,7 +314,7 @@
 
     def ended(self, placement):
         """Notes that an engine no longer has a prompt."""
-        self._overdue.done(placement.reader.entry.id, placement)
+        self._overdue.done(placement.prefill_engine.entry.id, placement)
         self._answered(placement)
         self._running.ended(placement)
 
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -85,6 +85,6 @@
         return RETURNED_URGENCY + 1 + sizes
 
     @property
-    def reader(self):
+    def prefill_engine(self):
         """Returns the belief of the engine that reads the prompt."""
         return self.prefill or self.decode
--- a/dandelionwinch/dispatch/_running.py
+++ b/dandelionwinch/dispatch/_running.py
@@ -50,7 +50,7 @@
                 counts = self._background
             case _:
                 return
-        upstream_id = placement.reader.entry.id
+        upstream_id = placement.prefill_engine.entry.id
         left = counts.get(upstream_id, 0) + change
         if left:
             counts[upstream_id] = left
--- a/dandelionwinch/dispatch/_transfers.py
+++ b/dandelionwinch/dispatch/_transfers.py
@@ -26,11 +26,11 @@
 
     def sent(self, placement, due_at):
         """Notes that an answer is due by a time."""
-        self._overdue.sent(placement.reader.entry.id, placement, due_at)
+        self._overdue.sent(placement.prefill_engine.entry.id, placement, due_at)
 
     def done(self, placement):
         """Notes the first sign of an answer, or that none will come."""
-        self._overdue.done(placement.reader.entry.id, placement)
+        self._overdue.done(placement.prefill_engine.entry.id, placement)
 
     def overdue_s(self, reader, now):
         """Returns for how long an engine's oldest KV cache is overdue."""
