--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_steward.py
@@ -180,7 +180,7 @@
                 if b.role_change_until <= now
             ]
             change = dispatch.plan_role(
-                engines, self._gateway.placer.answers(now)
+                engines, self._gateway.placer.peak_decodes(now)
             )
             if change is not None:
                 return change
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -166,7 +166,7 @@
                 return min(room, key=cost_s)
         return min(layout.decoders, key=cost_s)
 
-    def answers(self, now):
+    def peak_decodes(self, now):
         """Returns the recent peak of answers that all instances make."""
         return self._running.peak_of_answers(now) * self.instance_count
 
