--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -320,7 +320,7 @@
     def cached(self, instance, number, prefix, tokens):
         now = self._now
         prefixes = self._placers[instance].prefixes
-        prefixes.learn(prefix, str(number), tokens, now)
+        prefixes.record(prefix, str(number), tokens, now)
 
     def dropped(self, instance, number, prefix):
         self._placers[instance].prefixes.forget(prefix, str(number))
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -282,7 +282,7 @@
             belief.name, now, tokens, kv_tokens if stays else 0.0, stays
         )
         self._note_own(option, demand, sites, tokens, now)
-        self.prefixes.learn(
+        self.prefixes.record(
             demand.prefix, belief.name, demand.prefix_tokens, now
         )
         decode = belief.name
--- a/dandelionwinch/placement/_prefixes.py
+++ b/dandelionwinch/placement/_prefixes.py
@@ -28,7 +28,7 @@
     def __init__(self):
         self._hits = collections.OrderedDict()
 
-    def learn(self, prefix, upstream, tokens, now):
+    def record(self, prefix, upstream, tokens, now):
         """Notes that an upstream holds a prefix of some tokens."""
         hits = self._hits.pop(prefix, ())
         kept = [hit for hit in hits if hit.upstream != upstream]
