--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -10,7 +10,7 @@
 from dandelionwinch.placement._placer import Placer
 from dandelionwinch.placement._placer import Refusal
 from dandelionwinch.placement._placer import CandidatePool
-from dandelionwinch.placement._prefixes import Prefixes
+from dandelionwinch.placement._prefixes import PrefixIndex
 from dandelionwinch.placement._roles import Capacity
 from dandelionwinch.placement._roles import plan_roles
 from dandelionwinch.placement._roles import RoleChange
@@ -24,7 +24,7 @@
     'Choice',
     'Demand',
     'Placer',
-    'Prefixes',
+    'PrefixIndex',
     'Query',
     'Refusal',
     'Report',
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -118,7 +118,7 @@
         self._peers = None
         self._mean_tokens = 1000.0
         self._mean_output = 200.0
-        self.prefixes = _prefixes.Prefixes()
+        self.prefixes = _prefixes.PrefixIndex()
 
     def set_peer_rates(self, rates):
         """Notes what all other instances send together.
--- a/dandelionwinch/placement/_prefixes.py
+++ b/dandelionwinch/placement/_prefixes.py
@@ -16,7 +16,7 @@
     at: float
 
 
-class Prefixes:
+class PrefixIndex:
     """Beliefs about cached prefixes, each with its age.
 
     Cache events come late and with gaps, and engines evict without a
