--- a/dandelionwinch/placement/_beliefs.py
+++ b/dandelionwinch/placement/_beliefs.py
@@ -83,7 +83,7 @@
         self.sent_decodes -= item.decodes
         self.sent_kv_tokens -= item.kv_tokens
 
-    def note_report(self, report):
+    def record_report(self, report):
         """Takes a report; what was sent before it is part of it."""
         self.report = report
         self.role = report.role
@@ -204,7 +204,7 @@
             return False
         if belief.report and report.made_at <= belief.report.made_at:
             return False
-        belief.note_report(report)
+        belief.record_report(report)
         return True
 
     def sent(self, name, now, prefill_tokens, kv_tokens, decodes):
