--- a/dandelionwinch/placement/_beliefs.py
+++ b/dandelionwinch/placement/_beliefs.py
@@ -70,7 +70,7 @@
         away = self.report is not None and self.report.away
         return not (self.held or away)
 
-    def note_sent(self, item):
+    def record_sent(self, item):
         """Notes work that was sent here."""
         if len(self.sent) >= SENT_KEPT:
             self._drop_oldest()
@@ -211,7 +211,7 @@
         """Notes work that was sent to an upstream."""
         belief = self._by_name.get(name)
         if belief is not None:
-            belief.note_sent(_Sent(now, prefill_tokens, kv_tokens, decodes))
+            belief.record_sent(_Sent(now, prefill_tokens, kv_tokens, decodes))
 
     def quarantined(self, now):
         """Returns the names of upstreams that are left alone now."""
