--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -254,7 +254,9 @@
                 )
                 extra_s = 2 * self.trace.link.latency_s
                 extra_s = extra_s if data_centre != here else 0.0
-                sites.append(placement.CandidatePool(data_centre, names, extra_s))
+                sites.append(
+                    placement.CandidatePool(data_centre, names, extra_s)
+                )
             by_data_centre[here] = sites
         return by_data_centre
 
--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -69,7 +69,11 @@
                 return self._rng.choice(
                     [b for b in group if b.active == least]
                 )
-        key = prompt.shared_blocks[-1][0] if prompt.shared_blocks else self._rng.random()
+        key = (
+            prompt.shared_blocks[-1][0]
+            if prompt.shared_blocks
+            else self._rng.random()
+        )
         return max(group, key=lambda b: utils.stable_hash(key, b.entry.id))
 
     def _learn_nothing(self, *_args):
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -139,7 +139,9 @@
                 for upstream in catalog.upstreams_of(pool.name)
                 if upstream.state is settings.UpstreamState.ACTIVE
             )
-            sites.append(placement.CandidatePool(pool.name, names, link_cost_s))
+            sites.append(
+                placement.CandidatePool(pool.name, names, link_cost_s)
+            )
         sites.sort(key=lambda site: (site.link_cost_s, site.name))
         return sites
 
--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -5,8 +5,8 @@
 from dandelionwinch.dispatch._pace import RateLimiter
 from dandelionwinch.dispatch._plain import choose_plain
 from dandelionwinch.dispatch._prompts import HANDOVER_PRIORITY
-from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Placement
+from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Prompt
 from dandelionwinch.dispatch._roles import plan_role
 from dandelionwinch.dispatch._roles import RoleOrder
@@ -15,10 +15,10 @@
     'HANDOVER_PRIORITY',
     'Distances',
     'EnginePlacer',
-    'PriorityClass',
-    'RateLimiter',
     'Placement',
+    'PriorityClass',
     'Prompt',
+    'RateLimiter',
     'RoleOrder',
     'choose_plain',
     'plan_role',
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -203,7 +203,11 @@
 
     def _rank(self, prompt, layout):
         """Returns the function that ranks engines for a prompt's session."""
-        key = prompt.shared_blocks[-1][0] if prompt.shared_blocks else self._rng.random()
+        key = (
+            prompt.shared_blocks[-1][0]
+            if prompt.shared_blocks
+            else self._rng.random()
+        )
 
         def score(belief):
             weight = self._weight(belief, layout)
@@ -214,11 +218,15 @@
     def _pace(self, belief, now):
         pace = self._paces.get(belief.entry.id)
         if pace is None:
-            pace = _pace.RateLimiter(self._speed(belief), self.instance_count, now)
+            pace = _pace.RateLimiter(
+                self._speed(belief), self.instance_count, now
+            )
             self._paces[belief.entry.id] = pace
         return pace
 
-    def _placement(self, prompt, chosen, layout, priority_class, late, objective_s, now):
+    def _placement(
+        self, prompt, chosen, layout, priority_class, late, objective_s, now
+    ):
         tokens = prompt.tokens - self._cached.hit(prompt, chosen.entry.id, now)
         work_s = self._round_trip_s(chosen) + tokens / self._speed(chosen)
         terms = (
@@ -232,7 +240,14 @@
             decode = self._partner(chosen, layout, now)
             work_s += HANDOVER_S + self._round_trip_s(decode)
         return _prompts.Placement(
-            prefill, decode, priority_class, late, objective_s, tokens, work_s, terms
+            prefill,
+            decode,
+            priority_class,
+            late,
+            objective_s,
+            tokens,
+            work_s,
+            terms,
         )
 
     def _partner(self, reader, layout, now):
--- a/dandelionwinch/dispatch/_transfers.py
+++ b/dandelionwinch/dispatch/_transfers.py
@@ -26,7 +26,9 @@
 
     def sent(self, placement, due_at):
         """Notes that an answer is due by a time."""
-        self._overdue.sent(placement.prefill_engine.entry.id, placement, due_at)
+        self._overdue.sent(
+            placement.prefill_engine.entry.id, placement, due_at
+        )
 
     def done(self, placement):
         """Notes the first sign of an answer, or that none will come."""
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -187,9 +187,13 @@
             answer.head.status >= SERVER_ERROR
             and self._route.repeat is not routes.Repeat.ONCE
         )
-        way_s = self._gateway.distances.round_trip_s(upstream.entry.data_centre)
+        way_s = self._gateway.distances.round_trip_s(
+            upstream.entry.data_centre
+        )
         taken_s = now - began - way_s
-        excess_s = self._fleet.latency_baseline.excess_s(self._service, taken_s)
+        excess_s = self._fleet.latency_baseline.excess_s(
+            self._service, taken_s
+        )
         upstream.succeeded(excess_s, now)
         if again:
             raise _conversation.AttemptFailed(
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -1,4 +1,4 @@
-"""Connection pools and beliefs of the upstreams, kept in step."""
+"""Connection pools and the registry of upstreams, kept in step."""
 
 from dandelionwinch.gateway import _pool
 from dandelionwinch import upstreams
@@ -11,7 +11,14 @@
 class Fleet:
     """The upstreams as one instance uses them."""
 
-    __slots__ = ('_loop', '_pools', 'registry', 'instance_count', 'table', 'latency_baseline')
+    __slots__ = (
+        '_loop',
+        '_pools',
+        'registry',
+        'instance_count',
+        'table',
+        'latency_baseline',
+    )
 
     def __init__(self, loop):
         self._loop = loop
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""Wires routes, beliefs, placement, limits and connections together."""
+"""Wires routes, upstreams, placement, limits and connections together."""
 
 import random
 import traceback
@@ -113,7 +113,7 @@
         self.log.event('request.refused', status=status, reason=reason)
 
     def set_instance_count(self, instance_count):
-        """Takes the number of parts like its own that limits are cut in."""
+        """Sets the number of equal instances that share the limits."""
         self.fleet.instance_count = instance_count
         self.placer.instance_count = instance_count
 
@@ -131,7 +131,9 @@
 
     def spend_retry(self, service):
         """Takes a retry out of the shared budget."""
-        return self.budget.spend(service, self.fleet.instance_count, self.loop.time())
+        return self.budget.spend(
+            service, self.fleet.instance_count, self.loop.time()
+        )
 
     def log_placement(self, request_id, placement):
         """Logs where a generation goes, and why."""
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -73,7 +73,9 @@
         pool, conn = await self._take(upstream)
         try:
             async with self._talk(upstream, pool, conn) as talk:
-                handle = await self._ask_prefill(talk, sending, placement.priority_class)
+                handle = await self._ask_prefill(
+                    talk, sending, placement.priority_class
+                )
         except _conversation.AttemptFailed as exc:
             self._attempt += 1
             raise _conversation.AttemptFailed(
--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -3,13 +3,13 @@
 from dandelionwinch.placement._beliefs import LoadEstimate
 from dandelionwinch.placement._beliefs import LoadEstimates
 from dandelionwinch.placement._beliefs import Report
-from dandelionwinch.placement._decider import Query
 from dandelionwinch.placement._decider import choose_owner
+from dandelionwinch.placement._decider import Query
+from dandelionwinch.placement._placer import CandidatePool
 from dandelionwinch.placement._placer import Choice
 from dandelionwinch.placement._placer import Demand
 from dandelionwinch.placement._placer import Placer
 from dandelionwinch.placement._placer import Refusal
-from dandelionwinch.placement._placer import CandidatePool
 from dandelionwinch.placement._prefixes import PrefixIndex
 from dandelionwinch.placement._roles import Capacity
 from dandelionwinch.placement._roles import plan_roles
@@ -18,20 +18,20 @@
 from dandelionwinch.placement._trend import Trend
 
 __all__ = [
-    'LoadEstimate',
-    'LoadEstimates',
+    'CandidatePool',
     'Capacity',
     'Choice',
     'Demand',
+    'LoadEstimate',
+    'LoadEstimates',
     'Placer',
     'PrefixIndex',
     'Query',
     'Refusal',
     'Report',
     'RoleChange',
-    'CandidatePool',
     'Trend',
+    'choose_owner',
     'plan_roles',
     'served_share',
-    'choose_owner',
 ]
--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -2,18 +2,18 @@
 
 from dandelionwinch.upstreams._absence import DeregistrationGuard
 from dandelionwinch.upstreams._beliefs import available
-from dandelionwinch.upstreams._beliefs import Upstream
-from dandelionwinch.upstreams._beliefs import Registry
 from dandelionwinch.upstreams._beliefs import Entry
+from dandelionwinch.upstreams._beliefs import Registry
 from dandelionwinch.upstreams._beliefs import Role
+from dandelionwinch.upstreams._beliefs import Upstream
 from dandelionwinch.upstreams._typical import LatencyBaseline
 
 __all__ = [
     'DeregistrationGuard',
-    'Upstream',
-    'Registry',
     'Entry',
-    'Role',
     'LatencyBaseline',
+    'Registry',
+    'Role',
+    'Upstream',
     'available',
 ]
