--- a/dandelionwinch/dispatch/_distance.py
+++ b/dandelionwinch/dispatch/_distance.py
@@ -1,12 +1,12 @@
-"""Round trips between data centres, as assumed before any is measured."""
+"""Assumed round-trip times between data centres; none is measured."""
 
-SAME_S = 0.0005
-REGION_S = 0.003
-FAR_S = 0.025
+SAME_CENTRE_S = 0.0005
+SAME_REGION_S = 0.003
+CROSS_REGION_S = 0.025
 
 
 class Distances:
-    """Round trips from one instance's data centre."""
+    """Round-trip times from one instance's data centre."""
 
     __slots__ = ('_data_centre', '_regions')
 
@@ -17,8 +17,8 @@
     def round_trip_s(self, data_centre):
         """Returns the round trip to a data centre in seconds."""
         if data_centre == self._data_centre:
-            return SAME_S
+            return SAME_CENTRE_S
         region = self._regions.get(data_centre)
         if region and region == self._regions.get(self._data_centre):
-            return REGION_S
-        return FAR_S
+            return SAME_REGION_S
+        return CROSS_REGION_S
