--- a/dandelionwinch/dispatch/_roles.py
+++ b/dandelionwinch/dispatch/_roles.py
@@ -1,65 +1,66 @@
-"""Which engine changes its role next, if any.
+"""Plans the next role change of an engine.
 
-Answers a fleet whose roles do not fit its mix, as after crashes, when
-engines come back in the role that they began with. In a data centre each
-engine that only reads prompts needs one beside it that makes answers;
-half of the engines of each data centre read, if answers leave room.
+The roles may not fit the load, as after a crash, when engines restart in
+their initial role. Each data centre needs a decode engine for each of its
+prefill engines, and half of its engines prefill if the others can carry
+the decodes.
 """
 
 import attrs
 
 from dandelionwinch import upstreams
 
-ANSWER_SLOT_SHARE = 0.8
+DECODE_SLOT_RATIO = 0.8
 
 
 @attrs.frozen
 class RoleOrder:
-    """An engine and the role that it is to take."""
+    """An engine and the role that it is to change to."""
 
     upstream_id: str
     role: upstreams.Role
 
 
-def plan_role(engines, answers):
-    """Plans the next change of a role.
+def plan_role(engines, decodes):
+    """Plans the next role change.
 
     Args:
-        engines: Beliefs of a service's engines that take requests.
-        answers: Long answers that are made at once, at the peak.
+        engines: Upstreams of a service that accept requests.
+        decodes: Peak number of concurrent long answers.
 
     Returns:
-        A RoleOrder, or None if the roles fit.
+        A RoleOrder, or None if no change is needed.
     """
     centres = {}
-    for belief in engines:
-        centres.setdefault(belief.entry.data_centre, []).append(belief)
+    for engine in engines:
+        centres.setdefault(engine.entry.data_centre, []).append(engine)
     for group in sorted(centres.values(), key=len, reverse=True):
-        readers = [b for b in group if _reads(b)]
-        spare = len(group) - len(readers)
-        if readers and (not spare or len(readers) > spare + 1):
-            return RoleOrder(_first(readers), upstreams.Role.DECODE)
-    decoders = [b for b in engines if not _reads(b)]
-    if not _answers_fit(decoders, answers):
+        prefill = [e for e in group if _is_prefill(e)]
+        decode_count = len(group) - len(prefill)
+        if prefill and (not decode_count or len(prefill) > decode_count + 1):
+            return RoleOrder(_least_busy(prefill), upstreams.Role.DECODE)
+    decode = [e for e in engines if not _is_prefill(e)]
+    if not _has_spare_slots(decode, decodes):
         return None
     for group in sorted(centres.values(), key=len, reverse=True):
-        readers = [b for b in group if _reads(b)]
-        if len(readers) < len(group) // 2:
-            spare = [b for b in group if not _reads(b)]
-            return RoleOrder(_first(spare), upstreams.Role.PREFILL)
+        prefill = [e for e in group if _is_prefill(e)]
+        if len(prefill) < len(group) // 2:
+            candidates = [e for e in group if not _is_prefill(e)]
+            return RoleOrder(_least_busy(candidates), upstreams.Role.PREFILL)
     return None
 
 
-def _answers_fit(decoders, answers):
-    slots = sum(b.entry.slots for b in decoders)
-    least = min((b.entry.slots for b in decoders), default=0)
-    return answers <= ANSWER_SLOT_SHARE * (slots - least)
+def _has_spare_slots(engines, decodes):
+    """Tells whether the decodes fit with one engine less."""
+    slots = sum(e.entry.slots for e in engines)
+    least = min((e.entry.slots for e in engines), default=0)
+    return decodes <= DECODE_SLOT_RATIO * (slots - least)
 
 
-def _reads(belief):
-    return belief.entry.role is upstreams.Role.PREFILL
+def _is_prefill(engine):
+    return engine.entry.role is upstreams.Role.PREFILL
 
 
-def _first(group):
-    """Returns the id of the least busy engine; ties go by id."""
-    return min(group, key=lambda b: (b.active, b.entry.id)).entry.id
+def _least_busy(group):
+    """Returns the id of the least busy engine; ties are broken by id."""
+    return min(group, key=lambda e: (e.active, e.entry.id)).entry.id
