--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -1,13 +1,13 @@
-"""Which upstream gets a request, decided from one instance's beliefs."""
+"""Chooses the upstream of a request from one instance's view of the load."""
 
 from dandelionwinch.dispatch._distance import Distances
 from dandelionwinch.dispatch._engines import EnginePlacer
-from dandelionwinch.dispatch._pace import RateLimiter
 from dandelionwinch.dispatch._plain import choose_plain
 from dandelionwinch.dispatch._prompts import HANDOVER_PRIORITY
 from dandelionwinch.dispatch._prompts import Placement
 from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Prompt
+from dandelionwinch.dispatch._rate_limiter import RateLimiter
 from dandelionwinch.dispatch._roles import plan_role
 from dandelionwinch.dispatch._roles import RoleOrder
 
--- /dev/null
+++ b/dandelionwinch/dispatch/_groups.py
@@ -0,0 +1,102 @@
+"""Divides the engines of a service into those that prefill and that decode.
+
+A prompt that is prefilled between the tokens of an answer delays them, and
+a KV cache takes ten times as long to another region. So each prefill engine
+is paired with an engine in its data centre that only decodes; the remaining
+engines prefill and decode.
+"""
+
+import functools
+
+import attrs
+
+from dandelionwinch import upstreams
+from dandelionwinch import utils
+
+ORDER_KEY = 'answers'
+ORDER_CACHE_SIZE = 4096
+
+
+@attrs.frozen
+class EngineGroups:
+    """The engines of one service by what they do with long prompts.
+
+    Attributes:
+        prefill: Engines that may prefill long prompts.
+        decode_only: Engines that are reserved for decoding.
+        mixed: Engines that prefill prompts and decode their answers.
+        decode_centres: Data centres with an engine that decodes.
+    """
+
+    prefill: tuple
+    decode_only: tuple
+    mixed: tuple
+    decode_centres: frozenset
+
+    @property
+    def decode(self):
+        """Returns all engines that decode."""
+        return self.decode_only + self.mixed
+
+    def has_local_decoder(self, engine):
+        """Tells whether an engine in the same data centre decodes."""
+        return engine.entry.data_centre in self.decode_centres
+
+    def preferred_decoders(self, engine):
+        """Returns the engines to decode what another one has prefilled.
+
+        These are the reserved ones in its data centre, else the mixed ones
+        there, else all that decode.
+        """
+        centre = engine.entry.data_centre
+        for group in (self.decode_only, self.mixed):
+            local = [e for e in group if e.entry.data_centre == centre]
+            if local:
+                return local
+        return list(self.decode)
+
+    def local_decoders(self, engine):
+        """Returns all decoding engines in the data centre of an engine."""
+        centre = engine.entry.data_centre
+        return [e for e in self.decode if e.entry.data_centre == centre]
+
+
+def group_engines(usable):
+    """Divides the engines of a service into groups.
+
+    Args:
+        usable: Upstreams that accept requests.
+
+    Returns:
+        The EngineGroups, or None if no engine decodes.
+    """
+    prefill, decode = [], []
+    for engine in usable:
+        is_prefill = engine.entry.role is upstreams.Role.PREFILL
+        (prefill if is_prefill else decode).append(engine)
+    if not decode:
+        return None
+    decode.sort(key=lambda e: _order(e.entry.id))
+    unpaired = {}
+    for engine in prefill:
+        centre = engine.entry.data_centre
+        unpaired[centre] = unpaired.get(centre, 0) + 1
+    decode_only, mixed = [], []
+    for engine in decode:
+        centre = engine.entry.data_centre
+        if unpaired.get(centre, 0) > 0:
+            unpaired[centre] -= 1
+            decode_only.append(engine)
+        else:
+            mixed.append(engine)
+    prefilling = prefill + mixed or decode
+    centres = frozenset(e.entry.data_centre for e in decode)
+    return EngineGroups(
+        tuple(prefilling), tuple(decode_only), tuple(mixed), centres
+    )
+
+
+@functools.lru_cache(maxsize=ORDER_CACHE_SIZE)
+def _order(upstream_id):
+    """Returns the sort key of an engine, the same at all instances."""
+    return utils.stable_hash(ORDER_KEY, upstream_id)
--- a/dandelionwinch/dispatch/_plain.py
+++ b/dandelionwinch/dispatch/_plain.py
@@ -1,40 +1,42 @@
-"""Placement on plain services: the nearest upstream that is not loaded.
+"""Load balancing for plain services: distance against load.
 
-Answers the load of many short calls of one size: the distance outweighs
-small differences of load, and a queue outweighs the distance.
+Calls of a plain service are short and of similar size. So the nearest
+upstream is preferred in spite of small differences in load, and a farther
+one only while requests queue at the nearest.
 """
 
 from dandelionwinch import upstreams
 
-QUEUE_S = 0.004
+# Cost of one active request, and the range of the random tie-breaker.
+ACTIVE_REQUEST_S = 0.004
 FAILURE_S = 0.2
 
 
-def choose_plain(beliefs, exclude, distances, rng, now):
+def choose_plain(candidates, exclude, distances, rng, now):
     """Chooses an upstream of a plain service.
 
     Args:
-        beliefs: Upstreams that take requests.
+        candidates: Upstreams that accept requests.
         exclude: Ids of upstreams already tried.
-        distances: Distances from here.
+        distances: Distances from this instance.
         rng: Source of randomness for ties.
         now: Time in seconds.
 
     Returns:
-        A Belief, or None if there is none left.
+        An Upstream, or None if there is none left.
     """
-    fresh = [b for b in beliefs if b.entry.id not in exclude]
-    usable = upstreams.available(fresh, now)
+    untried = [u for u in candidates if u.entry.id not in exclude]
+    usable = upstreams.available(untried, now)
     if not usable:
         return None
 
-    def cost_s(belief):
+    def cost_s(upstream):
         return (
-            distances.round_trip_s(belief.entry.data_centre)
-            + QUEUE_S * belief.active
-            + FAILURE_S * belief.failures
-            + belief.late_by_s(now)
-            + rng.random() * QUEUE_S
+            distances.round_trip_s(upstream.entry.data_centre)
+            + ACTIVE_REQUEST_S * upstream.active
+            + FAILURE_S * upstream.failures
+            + upstream.recent_excess_s(now)
+            + rng.random() * ACTIVE_REQUEST_S
         )
 
     return min(usable, key=cost_s)
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -1,35 +1,43 @@
-"""Prompts, and where they are read and answered."""
+"""Prompts, their priorities, and the engines chosen for them."""
 
 import bisect
 import enum
 
 import attrs
 
-# A prompt below this size is read in a few milliseconds.
+# A shorter prompt is prefilled in a few milliseconds.
 SHORT_PROMPT_TOKENS = 1024
 
 
 class PriorityClass(enum.Enum):
-    """How urgent a prompt is at its engine."""
+    """How urgent a prompt is at its engine.
+
+    ANSWER is a short prompt, most of whose work is to decode its answer;
+    URGENT a long prompt within the rate limit of its engine; BACKGROUND
+    one beyond it, or one that misses its latency objective in any case.
+    """
 
     ANSWER = 'answer'
     URGENT = 'urgent'
     BACKGROUND = 'background'
 
 
-# A prompt that was read elsewhere needs its engine for the shortest time.
+# Priorities at the engine, from 0 (first) to 9. A prompt that another
+# engine has prefilled occupies its engine for the shortest time.
 HANDOVER_PRIORITY = 1
-URGENCY = {PriorityClass.ANSWER: 2, PriorityClass.URGENT: 5}
-RETURNED_URGENCY = 6
-BACKGROUND_SIZES = (1500, 4000)
+PRIORITIES = {PriorityClass.ANSWER: 2, PriorityClass.URGENT: 5}
+LATE_PRIORITY = 6
+BACKGROUND_SIZES_TOKENS = (1500, 4000)
 
 
 @attrs.frozen
 class Prompt:
-    """What a generation asks of an engine.
+    """The work of a generation at an engine.
 
     Attributes:
-        parts: Ids and sizes of the prompt's parts, in order.
+        tokens: Size of the prompt.
+        output_tokens: Size of the answer.
+        prefix_blocks: Ids and sizes in tokens of its blocks, in order.
     """
 
     tokens: int
@@ -38,26 +46,27 @@
 
     @property
     def shared_blocks(self):
-        """Returns the parts that other requests may have too."""
+        """Returns the blocks that other prompts may have too."""
         return self.prefix_blocks[:-1]
 
     @property
     def short(self):
-        """Tells whether reading it is little work."""
+        """Tells whether its prefill is little work."""
         return self.tokens < SHORT_PROMPT_TOKENS
 
 
 @attrs.frozen(eq=False)
 class Placement:
-    """Where a prompt is prefilled and where its answer is made.
+    """The engines that prefill a prompt and decode its answer.
 
     Attributes:
-        prefill: Belief of the engine for the prompt, None for `decode`.
-        late: Whether its latency objective cannot be met any more.
+        prefill: Upstream that only prefills, None if `decode` does it.
+        decode: Upstream that decodes.
+        late: Whether its latency objective can no longer be met.
         objective_s: Latency objective of the first token.
-        fresh_tokens: Prompt tokens not believed to be cached.
-        work_s: Time that the prompt alone should take, with distance.
-        terms: The terms that decided, for the log.
+        uncached_tokens: Prompt tokens that are probably not cached.
+        expected_s: Latency without queueing, with the round trip.
+        terms: The terms of the decision, for the log.
     """
 
     prefill: object
@@ -66,25 +75,25 @@
     late: bool
     objective_s: float
     uncached_tokens: int
-    work_s: float
+    expected_s: float
     terms: str
 
     @property
     def priority(self):
-        """Returns the urgency at the engine, 0 (first) to 9.
+        """Returns the priority at the engine, 0 (first) to 9.
 
-        In the background small prompts go first, as many of them are
-        served for one large one; those that come back go before all,
-        as they will not come a third time.
+        Among background prompts small ones go first, since many of them
+        are served in the time of a large one. Late ones, such as retries,
+        go before all of these, since they are not retried again.
         """
         if self.priority_class is not PriorityClass.BACKGROUND:
-            return URGENCY[self.priority_class]
+            return PRIORITIES[self.priority_class]
         if self.late:
-            return RETURNED_URGENCY
-        sizes = bisect.bisect(BACKGROUND_SIZES, self.uncached_tokens)
-        return RETURNED_URGENCY + 1 + sizes
+            return LATE_PRIORITY
+        sizes = bisect.bisect(BACKGROUND_SIZES_TOKENS, self.uncached_tokens)
+        return LATE_PRIORITY + 1 + sizes
 
     @property
     def prefill_engine(self):
-        """Returns the belief of the engine that reads the prompt."""
+        """Returns the Upstream that prefills the prompt."""
         return self.prefill or self.decode
--- /dev/null
+++ b/dandelionwinch/dispatch/_rate_limiter.py
@@ -0,0 +1,142 @@
+"""Limits the rate of urgent prompts from one instance to one engine.
+
+Instances that share an engine don't see each other's requests, so the
+queue of the engine shows only in the delay of first tokens. Each instance
+lowers its own rate by a factor while they are late, and raises it by a
+fixed step while they are early (AIMD), so that the rates converge to
+shares of the engine.
+"""
+
+import math
+
+# Delays of first tokens, as parts of the objective, above which the rate
+# is decreased and below which it is increased.
+DECREASE_DELAY_RATIO = 0.22
+INCREASE_DELAY_RATIO = 0.11
+DECREASE_FACTOR = 0.85
+# Added to the rate at each step, as a part of the engine's prefill rate.
+INCREASE_RATIO = 0.04
+MIN_STEP_S = 0.08
+# Rates as parts of the engine's prefill rate; the minimum and the initial
+# rate are divided by the number of instances.
+MIN_RATE_RATIO = 0.15
+MAX_RATE_RATIO = 1.0
+INITIAL_RATE_RATIO = 1.5
+# Part of the initial rate from which on a rate counts as not reduced.
+UNREDUCED_RATIO = 0.9
+# Size of the bucket in seconds of the rate.
+BURST_S = 0.05
+MEAN_GAIN = 0.05
+INITIAL_MEAN_TOKENS = 3000.0
+# Bounds of the size of a prompt relative to the mean, as powers of two.
+MAX_HALVINGS = 2.0
+MAX_DOUBLINGS = 0.8
+# Balance that a prompt needs for each doubling, in seconds of the rate.
+BALANCE_PER_DOUBLING_S = 0.03
+
+
+class RateLimiter:
+    """A token bucket whose rate is adjusted by the delay of first tokens.
+
+    Rates are prompt tokens per second. A prompt of mean size is admitted
+    while the balance is above zero, and may overdraw it.
+    """
+
+    __slots__ = (
+        '_balance',
+        '_changed_at',
+        '_instance_count',
+        '_limited',
+        '_mean_tokens',
+        '_prefill_rate',
+        '_rate',
+        '_refilled_at',
+    )
+
+    def __init__(self, prefill_rate, instance_count, now):
+        self._prefill_rate = prefill_rate
+        self._instance_count = instance_count
+        self._rate = min(
+            prefill_rate, INITIAL_RATE_RATIO * prefill_rate / instance_count
+        )
+        self._balance = self._rate * BURST_S
+        self._refilled_at = now
+        self._changed_at = now
+        self._limited = False
+        self._mean_tokens = INITIAL_MEAN_TOKENS
+
+    def admit(self, tokens, now):
+        """Spends a prompt's tokens if the balance allows it.
+
+        Returns:
+            Whether the prompt is admitted.
+        """
+        self._refill(now)
+        if self._balance <= self._required_balance(tokens):
+            self._limited = True
+            return False
+        self._balance -= tokens
+        return True
+
+    def _required_balance(self, tokens):
+        """Returns the balance above which a prompt is admitted.
+
+        A prompt smaller than the mean may overdraw the balance, since many
+        of them are served in the time of one large prompt. A larger prompt
+        waits for a positive balance.
+        """
+        tokens = max(1, tokens)
+        doublings = math.log2(tokens / self._mean_tokens)
+        self._mean_tokens += MEAN_GAIN * (tokens - self._mean_tokens)
+        bounded = max(-MAX_HALVINGS, min(MAX_DOUBLINGS, doublings))
+        return bounded * BALANCE_PER_DOUBLING_S * self._rate
+
+    def _refill(self, now):
+        earned = (now - self._refilled_at) * self._rate
+        limit = self._rate * BURST_S
+        self._balance = min(limit, self._balance + earned)
+        self._refilled_at = now
+
+    def observe(
+        self, excess_s, objective_s, prefill_rate, instance_count, now
+    ):
+        """Adjusts the rate to the delay of one first token.
+
+        Args:
+            excess_s: Latency in excess of what the prompt itself needs.
+            objective_s: Latency objective of the first token.
+            prefill_rate: Estimated prefill rate of the engine.
+            instance_count: Number of equal instances that share the engine.
+            now: Time in seconds.
+        """
+        self._prefill_rate = prefill_rate
+        self._instance_count = instance_count
+        if excess_s > DECREASE_DELAY_RATIO * objective_s:
+            self.decrease(now)
+        elif excess_s < INCREASE_DELAY_RATIO * objective_s and self._limited:
+            self._limited = False
+            self._set_rate(self._rate + INCREASE_RATIO * prefill_rate, now)
+
+    def decrease(self, now):
+        """Decreases the rate by one step."""
+        self._set_rate(self._rate * DECREASE_FACTOR, now)
+
+    def _set_rate(self, rate, now):
+        if now - self._changed_at < MIN_STEP_S:
+            return
+        self._refill(now)
+        least = MIN_RATE_RATIO * self._prefill_rate / self._instance_count
+        self._rate = max(least, min(MAX_RATE_RATIO * self._prefill_rate, rate))
+        self._changed_at = now
+
+    def is_unreduced(self):
+        """Tells whether the rate is at least near its initial value."""
+        initial = (
+            INITIAL_RATE_RATIO * self._prefill_rate / self._instance_count
+        )
+        return self._rate >= min(self._prefill_rate, initial) * UNREDUCED_RATIO
+
+    @property
+    def rate(self):
+        """Returns the current rate in prompt tokens per second."""
+        return self._rate
--- a/dandelionwinch/upstreams/_beliefs.py
+++ b/dandelionwinch/upstreams/_beliefs.py
@@ -78,7 +78,7 @@
         if self.failures < FAILURE_SHARE / 2:
             self.ejections = 0
 
-    def late_by_s(self, now):
+    def recent_excess_s(self, now):
         """Returns the recent excess latency, which fades with its age."""
         fresh = max(0.0, 1.0 - (now - self.observed_at) / EXCESS_KEEP_S)
         return max(0.0, self.excess_s) * fresh
