--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -1,12 +1,12 @@
-"""What one instance believes of the upstreams, and why."""
+"""The upstreams as one instance sees them: entries, health and latency."""
 
-from dandelionwinch.upstreams._absence import DeregistrationGuard
-from dandelionwinch.upstreams._beliefs import available
-from dandelionwinch.upstreams._beliefs import Entry
-from dandelionwinch.upstreams._beliefs import Registry
-from dandelionwinch.upstreams._beliefs import Role
-from dandelionwinch.upstreams._beliefs import Upstream
-from dandelionwinch.upstreams._typical import LatencyBaseline
+from dandelionwinch.upstreams._deregistration import DeregistrationGuard
+from dandelionwinch.upstreams._latency import LatencyBaseline
+from dandelionwinch.upstreams._registry import available
+from dandelionwinch.upstreams._registry import Entry
+from dandelionwinch.upstreams._registry import Registry
+from dandelionwinch.upstreams._registry import Role
+from dandelionwinch.upstreams._registry import Upstream
 
 __all__ = [
     'DeregistrationGuard',
--- /dev/null
+++ b/dandelionwinch/upstreams/_registry.py
@@ -0,0 +1,217 @@
+"""Upstreams by their entries in the store, with their health."""
+
+import enum
+
+import attrs
+
+# Gains of the moving averages of failures and of excess latency.
+FAILURE_GAIN = 0.2
+EJECT_FAILURE_RATIO = 0.5
+EJECT_S = 1.0
+EJECT_GROWTH_FACTOR = 1.5
+MAX_EJECT_S = 8.0
+MAX_EJECTED_RATIO = 0.5
+LATENCY_GAIN = 0.2
+# Age at which a latency sample no longer counts.
+EXCESS_FADE_S = 2.0
+
+
+class Role(enum.Enum):
+    """What an upstream does with a request."""
+
+    PLAIN = 'plain'
+    PREFILL = 'prefill'
+    DECODE = 'decode'
+
+
+@attrs.frozen
+class Entry:
+    """The entry of an upstream in the store, written by itself.
+
+    Attributes:
+        born: Unix millisecond of its start, 0 if not stated.
+        ready: Whether it accepts new requests.
+    """
+
+    id: str
+    service: str
+    address: str
+    data_centre: str
+    born: int
+    ready: bool
+    role: Role
+    slots: int
+    cold_s: float = 0.0
+
+
+@attrs.define
+class Upstream:
+    """One incarnation of an upstream as this instance sees it.
+
+    Attributes:
+        gone_at: When its entry vanished, None while it is there.
+        failures: Moving average of failed attempts, 0 to 1.
+        excess_s: Moving average of the latency in excess of the expected.
+        active: Requests of this instance that are in flight.
+        role_change_until: Time up to which its role may be changing.
+        ejected_until: Time up to which it gets no requests.
+        ejections: Number of ejections since it was last healthy.
+        observed_at: Time of the last attempt that ended.
+    """
+
+    entry: Entry
+    gone_at: float | None = None
+    failures: float = 0.0
+    excess_s: float = 0.0
+    active: int = 0
+    role_change_until: float = 0.0
+    ejected_until: float = 0.0
+    ejections: int = 0
+    observed_at: float = 0.0
+
+    def succeeded(self, excess_s, now):
+        """Records a successful attempt.
+
+        Args:
+            excess_s: Latency in excess of the expected.
+            now: Time in seconds.
+        """
+        self.failures -= FAILURE_GAIN * self.failures
+        self.excess_s += LATENCY_GAIN * (excess_s - self.excess_s)
+        self.observed_at = now
+        if self.failures < FAILURE_GAIN / 2:
+            self.ejections = 0
+
+    def recent_excess_s(self, now):
+        """Returns the excess latency, which fades with its age."""
+        fresh = max(0.0, 1.0 - (now - self.observed_at) / EXCESS_FADE_S)
+        return max(0.0, self.excess_s) * fresh
+
+    def failed(self, now):
+        """Records a failed attempt; ejects the upstream after many."""
+        self.failures += FAILURE_GAIN * (1.0 - self.failures)
+        self.observed_at = now
+        if self.failures >= EJECT_FAILURE_RATIO:
+            self.eject(now)
+
+    def eject(self, now):
+        """Excludes the upstream for a time that grows with each ejection."""
+        if self.ejected_until > now:
+            return
+        span_s = min(
+            MAX_EJECT_S, EJECT_S * EJECT_GROWTH_FACTOR**self.ejections
+        )
+        self.ejected_until = now + span_s
+        self.ejections += 1
+        # Below the limit, but one more failure ejects it again.
+        self.failures = EJECT_FAILURE_RATIO - FAILURE_GAIN / 2
+
+
+class Registry:
+    """All upstreams, by id and by service."""
+
+    __slots__ = ('_by_id', '_by_service', '_lost_at')
+
+    def __init__(self):
+        self._by_id = {}
+        self._by_service = {}
+        self._lost_at = None
+
+    def apply(self, entry):
+        """Applies an entry as it is in the store now.
+
+        Returns:
+            Whether this is a new incarnation or a new upstream.
+        """
+        upstream = self._by_id.get(entry.id)
+        same = (
+            upstream is not None
+            and upstream.entry.born == entry.born
+            and upstream.entry.address == entry.address
+        )
+        if same:
+            upstream.entry = entry
+            upstream.gone_at = None
+        else:
+            self._by_id[entry.id] = Upstream(entry)
+        self._index()
+        return not same
+
+    def remove(self, upstream_id, now):
+        """Marks an upstream as gone and returns it, or None."""
+        upstream = self._by_id.get(upstream_id)
+        if upstream is not None and upstream.gone_at is None:
+            upstream.gone_at = now
+        return upstream
+
+    def replace(self, entries, now):
+        """Applies a full listing; upstreams that it lacks are gone."""
+        listed = {entry.id for entry in entries}
+        for entry in entries:
+            self.apply(entry)
+        for upstream_id in self._by_id:
+            if upstream_id not in listed:
+                self.remove(upstream_id, now)
+
+    def forget(self, now, keep_s):
+        """Drops upstreams that have been gone for longer than `keep_s`."""
+        old = [
+            upstream_id
+            for upstream_id, upstream in self._by_id.items()
+            if upstream.gone_at is not None and now - upstream.gone_at > keep_s
+        ]
+        for upstream_id in old:
+            del self._by_id[upstream_id]
+        if old:
+            self._index()
+
+    def get(self, upstream_id):
+        """Returns an Upstream or None."""
+        return self._by_id.get(upstream_id)
+
+    def serves(self, upstream):
+        """Tells whether this very incarnation accepts requests now."""
+        current = self._by_id.get(upstream.entry.id)
+        return (
+            current is upstream
+            and upstream.gone_at is None
+            and upstream.entry.ready
+        )
+
+    def serving(self, service):
+        """Returns the upstreams of a service that accept requests."""
+        return [
+            upstream
+            for upstream in self._by_service.get(service, ())
+            if upstream.gone_at is None and upstream.entry.ready
+        ]
+
+    def __iter__(self):
+        return iter(list(self._by_id.values()))
+
+    def __len__(self):
+        return len(self._by_id)
+
+    def _index(self):
+        self._by_service = {}
+        for upstream in self._by_id.values():
+            name = upstream.entry.service
+            self._by_service.setdefault(name, []).append(upstream)
+
+
+def available(upstreams, now):
+    """Returns the upstreams that are not ejected.
+
+    At most MAX_EJECTED_RATIO of them are left out: beyond that, those
+    whose ejection ends first are returned as well.
+
+    Args:
+        upstreams: Upstreams of one service.
+        now: Time in seconds.
+    """
+    admitted = [u for u in upstreams if u.ejected_until <= now]
+    if len(admitted) >= len(upstreams) * (1 - MAX_EJECTED_RATIO):
+        return admitted
+    ranked = sorted(upstreams, key=lambda u: u.ejected_until)
+    least = -(-len(upstreams) // 2)
+    return ranked[:least]
