--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -1,10 +1,10 @@
-"""Where a job runs, and which roles the upstreams of a pool have."""
+"""Places jobs on upstreams and plans the roles of upstreams."""
 
-from dandelionwinch.placement._beliefs import LoadEstimate
-from dandelionwinch.placement._beliefs import LoadEstimates
-from dandelionwinch.placement._beliefs import Report
-from dandelionwinch.placement._decider import choose_owner
-from dandelionwinch.placement._decider import Query
+from dandelionwinch.placement._load import LoadEstimate
+from dandelionwinch.placement._load import LoadEstimates
+from dandelionwinch.placement._load import Report
+from dandelionwinch.placement._owner import choose_owner
+from dandelionwinch.placement._owner import Query
 from dandelionwinch.placement._placer import CandidatePool
 from dandelionwinch.placement._placer import Choice
 from dandelionwinch.placement._placer import Demand
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -1,32 +1,36 @@
-"""Chooses the upstreams of a job from beliefs about their load."""
+"""Chooses the upstreams of a job by their estimated load."""
 
 import attrs
 
-from dandelionwinch.placement import _filling
 from dandelionwinch.placement import _prefixes
 from dandelionwinch.placement import _trend
+from dandelionwinch.placement import _water_filling
 from dandelionwinch import settings
 
 MAX_CANDIDATES = 16
 HANDOVER_S = 0.005
-LEAST_SPEED_SHARE = 0.05
+# Part of its prefill rate below which an upstream gets no prompts.
+MIN_SPEED_RATIO = 0.05
 RATE_SPAN_S = 5.0
-MEAN_SHARE = 0.05
-LEAST_SHARE = 0.02
-UNKNOWN_RATE = 1.0e7
+MEAN_GAIN = 0.05
+MIN_OWN_RATIO = 0.02
+# Assumed of the peers until their rates are known: far more than they send.
+UNKNOWN_PEER_TOKENS_PER_S = 1.0e7
+# Part of the time for queued prompts that counts against a decode upstream.
 CHUNK_WEIGHT = 0.05
 
 
 @attrs.frozen
 class Demand:
-    """What a job asks for.
+    """The requirements of a job.
 
     Attributes:
         data_centre: Data centre of the client.
-        prefix: Hash of the prompt's beginning.
-        prefix_tokens: Tokens that a cache could spare at most.
-        patience_s: Longest useful wait for the first token.
+        prefix: Hash of the beginning of the prompt.
+        prefix_tokens: Largest number of prompt tokens that may be cached.
+        max_wait_s: Longest useful wait for the first token.
         gap_s: Longest allowed time between tokens.
+        exclude: Names of upstreams that must not be chosen.
     """
 
     data_centre: str
@@ -41,11 +45,11 @@
 
 @attrs.frozen
 class CandidatePool:
-    """The upstreams of one pool, and how far away they are.
+    """A pool that may run a job, and the cost of the link to it.
 
     Attributes:
         upstreams: Names of the pool's upstreams.
-        extra_s: Seconds that its distance adds, with the link's price.
+        link_cost_s: Latency that the link to it adds, with its price.
     """
 
     name: str
@@ -58,11 +62,11 @@
     """Where a job runs.
 
     Attributes:
-        prefill: Upstream that takes the prompt.
-        decode: Upstream that makes the answer; may be the same.
+        prefill: Upstream that prefills the prompt.
+        decode: Upstream that decodes the answer; may be the same.
         first_token_s: Expected wait for the first token.
         hit_tokens: Prompt tokens expected in the upstream's cache.
-        terms: The terms that were weighed, for operators.
+        terms: The terms of the decision, for operators.
     """
 
     prefill: str
@@ -74,10 +78,10 @@
 
 @attrs.frozen
 class Refusal:
-    """No upstream can start the job in time.
+    """The refusal of a job that no upstream can start in time.
 
     Attributes:
-        retry_after_s: When to come back.
+        retry_after_s: Delay after which the client should retry.
     """
 
     reason: str
@@ -86,70 +90,76 @@
 
 @attrs.frozen
 class _Option:
-    belief: object
+    estimate: object
     wait_s: float
-    own_s: float
+    prefill_s: float
     speed: float
-    hit: float
+    hit_tokens: float
     link_cost_s: float
 
     @property
     def total_s(self):
-        return self.wait_s + self.own_s + self.link_cost_s
+        return self.wait_s + self.prefill_s + self.link_cost_s
 
 
 class Placer:
-    """Decides for one instance; many decide at once on old reports."""
+    """Places the jobs of one instance.
+
+    Many instances place jobs at the same time, on reports of some age.
+
+    Attributes:
+        prefixes: The PrefixIndex.
+    """
 
     __slots__ = (
-        '_beliefs',
+        '_estimates',
         '_mean_output',
         '_mean_tokens',
-        '_own',
-        '_peers',
+        '_own_rates',
+        '_peer_rates',
         '_rng',
         'prefixes',
     )
 
-    def __init__(self, beliefs, rng):
-        self._beliefs = beliefs
+    def __init__(self, estimates, rng):
+        self._estimates = estimates
         self._rng = rng
-        self._own = {}
-        self._peers = None
+        self._own_rates = {}
+        self._peer_rates = None
         self._mean_tokens = 1000.0
         self._mean_output = 200.0
         self.prefixes = _prefixes.PrefixIndex()
 
     def set_peer_rates(self, rates):
-        """Notes what all other instances send together.
+        """Sets the rates that all other instances send together.
 
         Args:
-            rates: Prompt tokens per second by name of the site.
+            rates: Prompt tokens per second by name of the pool.
         """
-        self._peers = rates
+        self._peer_rates = rates
 
     def own_rates(self, now):
-        """Returns prompt tokens per second sent from here by site."""
-        return {name: rate.read(now) for name, rate in self._own.items()}
+        """Returns the own prompt tokens per second by name of the pool."""
+        return {name: rate.read(now) for name, rate in self._own_rates.items()}
 
-    def place(self, demand, sites, now):
+    def place(self, demand, pools, now):
         """Chooses the upstreams of a job.
 
-        The nearest site is asked first; another one only if the nearest
-        cannot start the job within its patience, or is far more loaded.
+        A farther pool is considered only while no nearer one can start the
+        job within half of the longest useful wait.
 
         Args:
-            demand: What the job asks for.
-            sites: Candidate Site, nearest first.
+            demand: The Demand of the job.
+            pools: CandidatePools, nearest first.
             now: Time in seconds.
 
         Returns:
-            Choice or Refusal.
+            A Choice or a Refusal.
         """
         hits = self.prefixes.lookup(demand.prefix, now)
         best = None
-        for site in sites:
-            option = self._best_of(site, demand, hits, now)
+        for pool in pools:
+            option = self._best_in(pool, demand, hits, now)
             if option is None:
                 continue
             if best is None or option.total_s < best.total_s:
@@ -163,191 +173,201 @@
                 f'the first token would take {best.total_s:.2f} s',
                 round(max(0.1, best.total_s - demand.max_wait_s), 2),
             )
-        return self._commit(best, demand, now, sites)
+        return self._commit(best, demand, now, pools)
 
-    def _best_of(self, site, demand, hits, now):
-        usable = self._usable(site, demand, now)
-        share = self._share(site, now)
-        decoders = [b for b in usable if self._has_room(b, demand, share, now)]
+    def _best_in(self, pool, demand, hits, now):
+        usable = self._usable(pool, demand, now)
+        share = self._own_share(pool, now)
+        decoders = [
+            e for e in usable if self._has_capacity(e, demand, share, now)
+        ]
         if not decoders:
             return None
-        takers = [
-            (belief, belief.prefill_speed(demand.gap_s))
-            for belief in usable
-            if belief.role is settings.Role.PREFILL or belief in decoders
+        prefillers = [
+            (estimate, estimate.prefill_speed(demand.gap_s))
+            for estimate in usable
+            if estimate.role is settings.Role.PREFILL or estimate in decoders
         ]
-        takers = [
-            (belief, speed)
-            for belief, speed in takers
-            if speed >= LEAST_SPEED_SHARE * belief.prefill_rate
+        prefillers = [
+            (estimate, speed)
+            for estimate, speed in prefillers
+            if speed >= MIN_SPEED_RATIO * estimate.prefill_rate
         ]
-        if not takers:
+        if not prefillers:
             return None
-        arriving = self._arriving(site)
+        peer_rate = self._peer_rate(pool)
         inflow = 0.0
-        if self._peers is not None:
-            inflow = arriving / sum(speed for _belief, speed in takers)
+        if self._peer_rates is not None:
+            inflow = peer_rate / sum(speed for _estimate, speed in prefillers)
         options = [
-            self._option(belief, speed, inflow, demand, hits, site, now)
-            for belief, speed in takers
+            self._option(estimate, speed, inflow, demand, hits, pool, now)
+            for estimate, speed in prefillers
         ]
-        return self._draw(options, arriving, now)
+        return self._choose(options, peer_rate, now)
 
-    def _usable(self, site, demand, now):
-        names = site.upstreams
+    def _usable(self, pool, demand, now):
+        names = pool.upstreams
         if len(names) > MAX_CANDIDATES:
             names = self._rng.sample(names, MAX_CANDIDATES)
-        found = [self._beliefs.get(name) for name in names]
+        found = [self._estimates.get(name) for name in names]
         allowed = [
-            belief
-            for belief in found
-            if belief is not None
-            and belief.name not in demand.exclude
-            and belief.allowed()
+            estimate
+            for estimate in found
+            if estimate is not None
+            and estimate.name not in demand.exclude
+            and estimate.allowed()
         ]
-        # Upstreams that failed of late are a last resort.
-        usable = [b for b in allowed if now >= b.quarantined_until]
+        # Quarantined upstreams are used only if there is no other.
+        usable = [e for e in allowed if now >= e.quarantined_until]
         return usable or allowed
 
-    def _arriving(self, site):
-        """Returns prompt tokens per second that peers send to a site.
+    def _peer_rate(self, pool):
+        """Returns prompt tokens per second that peers send to a pool.
 
-        As long as nothing is known of the peers they are taken to send
-        a lot, so that instances that start together spread their jobs.
+        Until their rates are known a very high rate is assumed, so that
+        instances that start together spread their jobs.
         """
-        if self._peers is None:
-            return UNKNOWN_RATE
-        return self._peers.get(site.name, 0.0)
+        if self._peer_rates is None:
+            return UNKNOWN_PEER_TOKENS_PER_S
+        return self._peer_rates.get(pool.name, 0.0)
 
-    def _share(self, site, now):
-        """Returns this instance's share of what all send to a site."""
-        rate = self._own.get(site.name)
+    def _own_share(self, pool, now):
+        """Returns the part of a pool's arrivals that this instance sends."""
+        rate = self._own_rates.get(pool.name)
         own = rate.read(now) if rate is not None else 0.0
-        if not self._peers or not self._peers.get(site.name):
+        if not self._peer_rates or not self._peer_rates.get(pool.name):
             return 1.0
-        peers = self._peers[site.name]
-        return max(LEAST_SHARE, own / (own + peers))
+        peers = self._peer_rates[pool.name]
+        return max(MIN_OWN_RATIO, own / (own + peers))
 
-    def _has_room(self, belief, demand, share, now):
+    def _has_capacity(self, estimate, demand, share, now):
         """Tells whether this instance may add a job to a batch.
 
-        All instances see the same free data centres. Each takes its share of
-        them, and of those that answers leave until the next report.
+        All instances see the same free slots. Each uses only its share of
+        them, and of those that finishing jobs free until the next report.
         """
-        if belief.role is settings.Role.PREFILL:
+        if estimate.role is settings.Role.PREFILL:
             return False
         tokens = demand.prompt_tokens + demand.output_tokens
-        if belief.kv_used() + tokens > belief.kv_capacity:
+        if estimate.kv_used() + tokens > estimate.kv_capacity:
             return False
         running, age_s = 0, 0.0
-        if belief.report is not None:
-            running = belief.report.running
-            age_s = max(0.0, now - belief.report.made_at)
-        free = belief.slots(demand.gap_s) - running
-        free += age_s * belief.decode_rate / self._mean_output
-        return belief.sent_decodes + self._rng.random() < share * free
+        if estimate.report is not None:
+            running = estimate.report.running
+            age_s = max(0.0, now - estimate.report.made_at)
+        free = estimate.slots(demand.gap_s) - running
+        free += age_s * estimate.decode_rate / self._mean_output
+        return estimate.sent_decodes + self._rng.random() < share * free
 
     @staticmethod
-    def _option(belief, speed, inflow, demand, hits, site, now):
-        hit = min(hits.get(belief.name, 0.0), demand.prefix_tokens)
-        backlog = belief.backlog(now, speed, inflow * speed)
+    def _option(estimate, speed, inflow, demand, hits, pool, now):
+        hit_tokens = min(hits.get(estimate.name, 0.0), demand.prefix_tokens)
+        backlog = estimate.backlog(now, speed, inflow * speed)
         wait_s = backlog / speed
-        own_s = (demand.prompt_tokens - hit) / speed
-        return _Option(belief, wait_s, own_s, speed, hit, site.link_cost_s)
+        prefill_s = (demand.prompt_tokens - hit_tokens) / speed
+        return _Option(
+            estimate, wait_s, prefill_s, speed, hit_tokens, pool.link_cost_s
+        )
 
-    def _draw(self, options, arriving, now):
-        index = _filling.choose_filling(
-            [option.wait_s + option.own_s for option in options],
+    def _choose(self, options, peer_rate, now):
+        index = _water_filling.choose_by_filling(
+            [option.wait_s + option.prefill_s for option in options],
             [option.speed for option in options],
-            arriving * self._picture_age([o.belief for o in options], now),
+            peer_rate
+            * self._mean_report_age_s([o.estimate for o in options], now),
             self._rng,
         )
         return options[index]
 
     @staticmethod
-    def _picture_age(beliefs, now):
+    def _mean_report_age_s(estimates, now):
         ages = [
-            now - belief.report.made_at
-            for belief in beliefs
-            if belief.report is not None
+            now - estimate.report.made_at
+            for estimate in estimates
+            if estimate.report is not None
         ]
         return sum(ages) / len(ages) if ages else 1.0
 
-    def _commit(self, option, demand, now, sites):
-        belief = option.belief
-        stays = belief.role is not settings.Role.PREFILL
-        tokens = demand.prompt_tokens - option.hit
+    def _commit(self, option, demand, now, pools):
+        estimate = option.estimate
+        decodes_here = estimate.role is not settings.Role.PREFILL
+        tokens = demand.prompt_tokens - option.hit_tokens
         kv_tokens = demand.prompt_tokens + demand.output_tokens
-        self._beliefs.sent(
-            belief.name, now, tokens, kv_tokens if stays else 0.0, stays
+        self._estimates.sent(
+            estimate.name,
+            now,
+            tokens,
+            kv_tokens if decodes_here else 0.0,
+            decodes_here,
         )
-        self._note_own(option, demand, sites, tokens, now)
+        self._record_own(option, demand, pools, tokens, now)
         self.prefixes.record(
-            demand.prefix, belief.name, demand.prefix_tokens, now
+            demand.prefix, estimate.name, demand.prefix_tokens, now
         )
-        decode = belief.name
+        decode = estimate.name
         first_s = option.total_s
-        if not stays:
-            site = next(s for s in sites if belief.name in s.upstreams)
-            decode = self.choose_decode(demand, site, now, first_s) or ''
+        if not decodes_here:
+            pool = next(p for p in pools if estimate.name in p.upstreams)
+            decode = self.choose_decode(demand, pool, now, first_s) or ''
             first_s += HANDOVER_S
         terms = (
-            f'wait {option.wait_s:.3f} s, prefill {option.own_s:.3f} s, '
-            f'distance {option.link_cost_s:.3f} s, cached {option.hit:.0f} of '
-            f'{demand.prompt_tokens} tokens, role {belief.role}, '
-            f'{belief.decoding()} decoding'
+            f'wait {option.wait_s:.3f} s, prefill {option.prefill_s:.3f} s, '
+            f'distance {option.link_cost_s:.3f} s, '
+            f'cached {option.hit_tokens:.0f} of '
+            f'{demand.prompt_tokens} tokens, role {estimate.role}, '
+            f'{estimate.decoding()} decoding'
         )
-        return Choice(belief.name, decode, first_s, option.hit, terms)
+        return Choice(estimate.name, decode, first_s, option.hit_tokens, terms)
 
-    def _note_own(self, option, demand, sites, tokens, now):
-        name = option.belief.name
-        site = next(site for site in sites if name in site.upstreams)
-        rate = self._own.get(site.name)
+    def _record_own(self, option, demand, pools, tokens, now):
+        name = option.estimate.name
+        pool = next(pool for pool in pools if name in pool.upstreams)
+        rate = self._own_rates.get(pool.name)
         if rate is None:
-            rate = self._own[site.name] = _trend.Average(RATE_SPAN_S)
+            rate = self._own_rates[pool.name] = _trend.Average(RATE_SPAN_S)
         rate.add(tokens, now)
         output = demand.output_tokens
-        self._mean_output += MEAN_SHARE * (output - self._mean_output)
-        self._mean_tokens += MEAN_SHARE * (tokens - self._mean_tokens)
+        self._mean_output += MEAN_GAIN * (output - self._mean_output)
+        self._mean_tokens += MEAN_GAIN * (tokens - self._mean_tokens)
         self._mean_tokens = max(1.0, self._mean_tokens)
 
-    def choose_decode(self, demand, site, now, delay_s=0.0):
-        """Chooses the upstream that imports a prefilled prompt.
+    def choose_decode(self, demand, pool, now, delay_s=0.0):
+        """Chooses the upstream that decodes a prefilled prompt.
 
         Args:
-            demand: What the job asks for.
-            site: Where it is prefilled.
+            demand: The Demand of the job.
+            pool: The pool in which it is prefilled.
             now: Time in seconds.
-            delay_s: Seconds until the prompt is ready.
+            delay_s: Seconds until the prompt is prefilled.
 
         Returns:
-            Name of the upstream, or None if none has room.
+            Name of the upstream, or None if none has capacity.
         """
-        share = self._share(site, now)
-        room = [
-            belief
-            for belief in self._usable(site, demand, now)
-            if self._has_room(belief, demand, share, now)
+        share = self._own_share(pool, now)
+        free = [
+            estimate
+            for estimate in self._usable(pool, demand, now)
+            if self._has_capacity(estimate, demand, share, now)
         ]
-        if not room:
+        if not free:
             return None
-        jobs_per_s = self._arriving(site) / self._mean_tokens
-        index = _filling.choose_filling(
-            [self._decode_level(belief, now) for belief in room],
-            [belief.decode_rate for belief in room],
-            jobs_per_s * self._picture_age(room, now),
+        jobs_per_s = self._peer_rate(pool) / self._mean_tokens
+        index = _water_filling.choose_by_filling(
+            [self._decode_level(estimate, now) for estimate in free],
+            [estimate.decode_rate for estimate in free],
+            jobs_per_s * self._mean_report_age_s(free, now),
             self._rng,
         )
-        chosen = room[index]
+        chosen = free[index]
         tokens = demand.prompt_tokens + demand.output_tokens
-        self._beliefs.sent(chosen.name, now + delay_s, 0.0, tokens, True)
+        self._estimates.sent(chosen.name, now + delay_s, 0.0, tokens, True)
         return chosen.name
 
     @staticmethod
-    def _decode_level(belief, now):
-        """Returns the time between tokens, and what its prompts add."""
-        busy_s = belief.backlog(now, belief.prefill_rate)
-        busy_s /= belief.prefill_rate
-        return (belief.decoding() + 1) / belief.decode_rate + (
+    def _decode_level(estimate, now):
+        """Returns the token gap, with the delay by queued prompts."""
+        busy_s = estimate.backlog(now, estimate.prefill_rate)
+        busy_s /= estimate.prefill_rate
+        return (estimate.decoding() + 1) / estimate.decode_rate + (
             CHUNK_WEIGHT * busy_s
         )
--- a/dandelionwinch/placement/_prefixes.py
+++ b/dandelionwinch/placement/_prefixes.py
@@ -1,12 +1,12 @@
-"""Where a prompt's beginning is probably cached."""
+"""Index of the upstreams that probably have a prompt prefix cached."""
 
 import collections
 
 import attrs
 
-BELIEF_LIFE_S = 120.0
-PREFIXES_KEPT = 8192
-UPSTREAMS_PER_PREFIX = 4
+PREFIX_TTL_S = 120.0
+MAX_PREFIXES = 8192
+MAX_UPSTREAMS_PER_PREFIX = 4
 
 
 @attrs.frozen
@@ -17,10 +17,11 @@
 
 
 class PrefixIndex:
-    """Beliefs about cached prefixes, each with its age.
+    """Upstreams by cached prefix, each with the age of the information.
 
-    Cache events come late and with gaps, and engines evict without a
-    word, so a belief fades and is dropped after a time.
+    Cache events arrive late and with gaps, and engines evict without an
+    event. So the expected hit declines with its age, and is dropped after
+    PREFIX_TTL_S.
     """
 
     __slots__ = ('_hits',)
@@ -29,25 +30,25 @@
         self._hits = collections.OrderedDict()
 
     def record(self, prefix, upstream, tokens, now):
-        """Notes that an upstream holds a prefix of some tokens."""
+        """Records that an upstream caches a prefix of some tokens."""
         hits = self._hits.pop(prefix, ())
         kept = [hit for hit in hits if hit.upstream != upstream]
         kept.insert(0, _Hit(upstream, tokens, now))
-        self._hits[prefix] = tuple(kept[:UPSTREAMS_PER_PREFIX])
-        while len(self._hits) > PREFIXES_KEPT:
+        self._hits[prefix] = tuple(kept[:MAX_UPSTREAMS_PER_PREFIX])
+        while len(self._hits) > MAX_PREFIXES:
             self._hits.popitem(last=False)
 
     def forget(self, prefix, upstream):
-        """Notes that an upstream no longer holds a prefix."""
+        """Records that an upstream no longer caches a prefix."""
         hits = self._hits.get(prefix, ())
         kept = tuple(hit for hit in hits if hit.upstream != upstream)
         self._hits[prefix] = kept
 
     def lookup(self, prefix, now):
-        """Returns expected cached tokens by upstream."""
+        """Returns the expected number of cached tokens by upstream."""
         expected = {}
         for hit in self._hits.get(prefix, ()):
-            trust = 1 - (now - hit.at) / BELIEF_LIFE_S
+            trust = 1 - (now - hit.at) / PREFIX_TTL_S
             if trust > 0:
                 expected[hit.upstream] = hit.tokens * min(1.0, 0.5 + trust)
         return expected
--- a/dandelionwinch/placement/_roles.py
+++ b/dandelionwinch/placement/_roles.py
@@ -1,18 +1,20 @@
-"""Which roles the upstreams of a pool should have."""
+"""Plans the roles of the upstreams of a pool."""
 
 import attrs
 
-from dandelionwinch.placement import _beliefs
+from dandelionwinch.placement import _load
 from dandelionwinch import settings
 
-TARGET_USE = 0.85
+TARGET_USE_RATIO = 0.85
+# A change must gain this part of the demand, plus a part that grows with
+# the change weight of the policy.
 GOODPUT_WEIGHT = 0.02
 CHANGE_WEIGHT = 0.25
 
 
 @attrs.frozen
 class Capacity:
-    """Usable upstreams of a pool by role.
+    """Number of usable upstreams of a pool by role.
 
     Attributes:
         prefill: Upstreams that only prefill.
@@ -25,11 +27,12 @@
 
 @attrs.frozen
 class RoleChange:
-    """A change that pays for itself.
+    """A role change whose gain exceeds its cost.
 
     Attributes:
-        gain: Expected share of the demand that it saves over the
-            horizon, after its costs.
+        gain: Expected part of the demand that it saves over the horizon,
+            after its costs.
+        terms: The terms of the decision, for operators.
     """
 
     upstream: str
@@ -39,16 +42,16 @@
 
 
 def served_share(capacity, prefill_load, decode_load):
-    """Returns the share of a demand that some roles can serve.
+    """Returns the part of the demand that a capacity can serve, 0 to 1.
 
     Args:
-        capacity: Upstreams by role.
-        prefill_load: Prompt work in busy upstreams.
-        decode_load: Output work in busy upstreams.
+        capacity: Number of upstreams by role.
+        prefill_load: Prefill work, in fully used upstreams.
+        decode_load: Decode work, in fully used upstreams.
     """
-    prefill = capacity.prefill * TARGET_USE
-    decode = capacity.decode * TARGET_USE
-    efficiency = _beliefs.CHUNK_EFFICIENCY
+    prefill = capacity.prefill * TARGET_USE_RATIO
+    decode = capacity.decode * TARGET_USE_RATIO
+    efficiency = _load.CHUNK_EFFICIENCY
     share = 1.0
     if decode_load > 0:
         share = min(share, decode / decode_load)
@@ -60,56 +63,57 @@
     return max(0.0, share)
 
 
-def plan_roles(beliefs, rates, policy, away, now):
-    """Decides on at most one role change of a pool.
+def plan_roles(estimates, rates, policy, away, now):
+    """Plans at most one role change of a pool.
 
-    A change is worth its price if the share of demand that it saves
-    over the horizon exceeds what its absence loses, and a further part
-    that grows with the policy's knob. The change must pay under the
-    short and under the long view of the demand.
+    A change is planned if the part of the demand that it saves over the
+    horizon exceeds what is lost during the change, plus a margin that grows
+    with the change weight of the policy. It must do so for the demand of
+    the short and of the long time span.
 
     Args:
-        beliefs: Belief of each upstream of the pool.
+        estimates: LoadEstimate of each upstream of the pool.
         rates: Pairs of prompt and output tokens per second.
-        policy: The pool's policy.
-        away: Number of upstreams that are away by a change.
+        policy: The policy of the pool.
+        away: Number of upstreams that are changing their role.
         now: Time in seconds.
 
     Returns:
         A RoleChange, or None.
     """
-    usable = [belief for belief in beliefs if belief.usable(now)]
+    usable = [estimate for estimate in estimates if estimate.usable(now)]
     if not usable or not rates:
         return None
-    allowed = max(1, int(policy.away_share * len(beliefs)))
+    allowed = max(1, int(policy.away_share * len(estimates)))
     if away >= allowed:
         return None
     best = None
     for wanted in (settings.Role.DECODE, settings.Role.PREFILL):
-        change = _weigh(usable, rates, policy, wanted, now)
+        change = _evaluate(usable, rates, policy, wanted, now)
         if change is not None and (best is None or change.gain > best.gain):
             best = change
     return best
 
 
-def _weigh(usable, rates, policy, wanted, now):
-    movable = [b for b in usable if _is_prefill(b) != _takes(wanted)]
+def _evaluate(usable, rates, policy, wanted, now):
+    """Returns the RoleChange of one upstream to a role, None if no gain."""
+    movable = [e for e in usable if _is_prefill(e) != _prefills(wanted)]
     if not movable:
         return None
     present = _capacity(usable)
-    step = 1 if _takes(wanted) else -1
+    step = 1 if _prefills(wanted) else -1
     after = Capacity(present.prefill + step, present.decode - step)
-    without = Capacity(
+    during = Capacity(
         present.prefill - (step < 0), present.decode - (step > 0)
     )
     if after.decode < 1:
         return None
     gains = [
-        _gain(pair, usable, present, after, without, policy) for pair in rates
+        _gain(pair, usable, present, after, during, policy) for pair in rates
     ]
     if min(gains) <= 0:
         return None
-    upstream = min(movable, key=lambda b: (b.decoding(), b.kv_used(), b.name))
+    upstream = min(movable, key=lambda e: (e.decoding(), e.kv_used(), e.name))
     terms = (
         f'prefill {present.prefill} to {after.prefill}, expected gain '
         f'{min(gains):.3f} of the demand over {policy.horizon_s:g} s'
@@ -117,30 +121,31 @@
     return RoleChange(upstream.name, wanted, min(gains), terms)
 
 
-def _takes(role):
+def _prefills(role):
     return role is settings.Role.PREFILL
 
 
-def _is_prefill(belief):
-    return belief.role is settings.Role.PREFILL
+def _is_prefill(estimate):
+    return estimate.role is settings.Role.PREFILL
 
 
 def _capacity(usable):
-    prefill = sum(1 for belief in usable if _is_prefill(belief))
+    prefill = sum(1 for estimate in usable if _is_prefill(estimate))
     return Capacity(prefill, len(usable) - prefill)
 
 
-def _gain(pair, usable, present, after, without, policy):
+def _gain(pair, usable, present, after, during, policy):
+    """Returns the part of the demand saved by a change, after its costs."""
     count = len(usable)
-    prefill_rate = sum(b.prefill_rate for b in usable) / count
-    decode_rate = sum(b.decode_rate for b in usable) / count
+    prefill_rate = sum(e.prefill_rate for e in usable) / count
+    decode_rate = sum(e.decode_rate for e in usable) / count
     loads = (pair[0] / prefill_rate, pair[1] / decode_rate)
-    now_share = served_share(present, *loads)
-    new_share = served_share(after, *loads)
-    away_share = served_share(without, *loads)
+    present_share = served_share(present, *loads)
+    after_share = served_share(after, *loads)
+    during_share = served_share(during, *loads)
     away_s = 2 * policy.role_change_s
-    saved = (new_share - now_share) * (policy.horizon_s - away_s)
-    lost = (now_share - away_share) * away_s
-    knob = policy.change_weight
-    price = (GOODPUT_WEIGHT + CHANGE_WEIGHT * knob) * policy.horizon_s
+    saved = (after_share - present_share) * (policy.horizon_s - away_s)
+    lost = (present_share - during_share) * away_s
+    weight = policy.change_weight
+    price = (GOODPUT_WEIGHT + CHANGE_WEIGHT * weight) * policy.horizon_s
     return (saved - lost - price) / policy.horizon_s
--- a/dandelionwinch/placement/_trend.py
+++ b/dandelionwinch/placement/_trend.py
@@ -1,4 +1,4 @@
-"""Smoothed demand of a pool over a short and a long time."""
+"""Smoothed demand of a pool over a short and a long time span."""
 
 import math
 
@@ -9,19 +9,23 @@
 
 @attrs.define
 class Average:
-    """An exponentially fading rate."""
+    """An exponentially decaying average of a rate.
+
+    Attributes:
+        span_s: Time constant of the decay.
+    """
 
     span_s: float
     value: float = 0.0
     at: float | None = None
 
     def add(self, amount, now):
-        """Adds an amount that arrived at a time."""
+        """Adds an amount that arrives now."""
         self.value = self.read(now) + amount / self.span_s
         self.at = now
 
     def read(self, now):
-        """Returns the smoothed amount per second."""
+        """Returns the average amount per second."""
         if self.at is None:
             self.at = now
             return 0.0
@@ -32,8 +36,8 @@
 class Trend:
     """Demand in prompt and output tokens per second.
 
-    The forecast takes the demand that both averages agree on, so that
-    a short swing alone never looks lasting.
+    A plan must hold under the short and the long average, so that a short
+    peak alone does not count as lasting demand.
     """
 
     __slots__ = ('_decode', '_prefill')
@@ -44,14 +48,14 @@
         self._decode = [Average(span) for span in spans]
 
     def add(self, prefill_tokens, decode_tokens, now):
-        """Notes a job's demand."""
+        """Adds the demand of a job."""
         for average in self._prefill:
             average.add(prefill_tokens, now)
         for average in self._decode:
             average.add(decode_tokens, now)
 
     def rates(self, now):
-        """Returns (prefill, decode) rates, short and long in turn."""
+        """Returns (prefill, decode) rates of the short and the long span."""
         return [
             (prefill.read(now), decode.read(now))
             for prefill, decode in zip(
