--- a/dandelionwinch/readers.py
+++ b/dandelionwinch/readers.py
@@ -1,4 +1,4 @@
-"""Reads YAML settings and reports all findings with their data centres."""
+"""Reads YAML settings files and reports every finding with its line."""
 
 import functools
 import operator
@@ -15,8 +15,13 @@
 from dandelionwinch import settings
 
 
-def _strict(kind):
-    def structure(value, _type):
+def _exact_type_hook(kind):
+    """Returns a structure hook that rejects values of another type.
+
+    An int is accepted as a float, but a bool is not accepted as an int.
+    """
+
+    def hook(value, _type):
         fits = isinstance(value, kind)
         if isinstance(value, bool) and kind is not bool:
             fits = False
@@ -26,15 +31,16 @@
             raise TypeError(f'{value!r} is not of type {kind.__name__}')
         return value
 
-    return structure
+    return hook
 
 
 def _converter():
     converter = cattrs.Converter(forbid_extra_keys=True)
     for kind in (str, int, float, bool):
-        # By identity: an enumeration of texts is not a text here.
+        # By identity: a string enumeration is a subclass of str, but must
+        # not be read as a plain string.
         converter.register_structure_hook_func(
-            functools.partial(operator.is_, kind), _strict(kind)
+            functools.partial(operator.is_, kind), _exact_type_hook(kind)
         )
     return converter
 
@@ -42,7 +48,8 @@
 CONVERTER = _converter()
 
 
-def _explain(exc, _type):
+def _describe(exc, _type):
+    """Returns the message of a finding for a structuring error."""
     match exc:
         case cattrs_errors.ForbiddenExtraKeysError():
             names = ', '.join(sorted(str(name) for name in exc.extra_fields))
@@ -54,19 +61,19 @@
 
 
 def structure(raw, kind, file, lines=None):
-    """Turns bare values into a typed object.
+    """Structures plain values into an instance of an attrs class.
 
     Args:
         raw: Mapping as read from YAML or JSON.
-        kind: The attrs class to build.
-        file: Name put into findings.
-        lines: Lines by path, or None where the source has none.
+        kind: The attrs class.
+        file: File name for the findings.
+        lines: Line numbers by path, or None if the source has none.
 
     Returns:
         An instance of the class.
 
     Raises:
-        SettingsInvalid: With every finding at once.
+        SettingsInvalid: With all findings.
     """
     if not isinstance(raw, dict):
         finding = errors.Finding(file, 1, '$', 'a mapping is expected')
@@ -74,10 +81,10 @@
     try:
         return CONVERTER.structure(raw, kind)
     except cattrs_errors.ClassValidationError as exc:
-        found = dict(_broken_rules(raw, kind, '$'))
-        for text in cattrs.transform_error(exc, format_exception=_explain):
+        found = dict(_validation_errors(raw, kind, '$'))
+        for text in cattrs.transform_error(exc, format_exception=_describe):
             message, _, path = text.rpartition(' @ ')
-            # A rule's message comes again for the object as a whole.
+            # The error of a validator is reported for the object, too.
             if message not in found.values():
                 found.setdefault(path, message)
         findings = [
@@ -87,34 +94,37 @@
         raise errors.SettingsInvalid(findings) from exc
 
 
-def _broken_rules(raw, kind, path):
-    """Yields the path and message of each value that breaks a rule.
+def _validation_errors(raw, kind, path):
+    """Yields the path and the message of each value that is invalid.
 
-    The class itself stops at the first broken rule.
+    Needed since the class itself stops at the first failed validator.
     """
     if not isinstance(raw, dict) or not attrs.has(kind):
         return
     for field in attrs.fields(attrs.resolve_types(kind)):
         if field.name not in raw:
             continue
-        value, where = raw[field.name], f'{path}.{field.name}'
+        value, inner_path = raw[field.name], f'{path}.{field.name}'
         inner = typing.get_args(field.type)
         if isinstance(value, list) and inner:
             for index, item in enumerate(value):
-                yield from _broken_rules(item, inner[0], f'{where}[{index}]')
-        yield from _broken_rules(value, field.type, where)
+                yield from _validation_errors(
+                    item, inner[0], f'{inner_path}[{index}]'
+                )
+        yield from _validation_errors(value, field.type, inner_path)
         if field.validator is None or attrs.has(field.type):
             continue
         try:
             field.validator(None, field, value)
         except ValueError as exc:
-            yield where, str(exc.args[0])
+            yield inner_path, str(exc.args[0])
         except (TypeError, AttributeError):
-            # The wrong type is reported by the structuring itself.
+            # A wrong type is reported by the structuring itself.
             continue
 
 
 def _line_of(path, lines):
+    """Returns the line of a path or of its nearest parent, else 0."""
     while path and path not in lines:
         cut = max(path.rfind('.'), path.rfind('['))
         if cut <= 0:
@@ -124,7 +134,7 @@
 
 
 class _Document:
-    """A parsed YAML file with the line of each path."""
+    """A parsed YAML file with the line number of each path."""
 
     __slots__ = ('file', 'findings', 'lines', 'value')
 
@@ -140,11 +150,11 @@
             mark = getattr(exc, 'problem_mark', None)
             line = mark.line + 1 if mark else 0
             problem = getattr(exc, 'problem', None) or str(exc)
-            self._find(line, '$', f'not valid YAML: {problem}')
+            self._add_finding(line, '$', f'not valid YAML: {problem}')
         if self.findings:
             raise errors.SettingsInvalid(self.findings)
 
-    def _find(self, line, path, message):
+    def _add_finding(self, line, path, message):
         finding = errors.Finding(self.file, line, path, message)
         self.findings.append(finding)
 
@@ -165,7 +175,9 @@
             line = key.start_mark.line + 1
             inner = f'{path}.{key.value}'
             if key.value in seen:
-                self._find(line, inner, f'key "{key.value}" stands twice')
+                self._add_finding(
+                    line, inner, f'key "{key.value}" stands twice'
+                )
             seen.add(key.value)
             self._walk(value, inner)
             self.lines[inner] = line
@@ -186,7 +198,11 @@
 
 
 def read_entry(path):
-    """Reads the settings of one entry instance."""
+    """Reads the settings file of one entry instance.
+
+    Raises:
+        SettingsInvalid: With all findings.
+    """
     document = read_document(path)
     return structure(
         document.value, settings.EntrySettings, document.file, document.lines
@@ -194,62 +210,66 @@
 
 
 def read_catalog(path):
-    """Reads a catalog file into a checked catalog.
+    """Reads a catalog file and checks it.
 
-    The file holds one list for each kind of document, named in the
-    plural: ``upstreams``, ``pools``, ``policies`` and so on.
+    The file holds one list for each kind of document, under the plural of
+    its name: ``upstreams``, ``pools``, ``policies`` and so on.
+
+    Returns:
+        The catalog.
 
     Raises:
-        SettingsInvalid: With every finding of the whole file.
+        SettingsInvalid: With all findings of the file.
     """
     document = read_document(path)
-    docs, data_centres, findings = _split(document)
+    docs, paths, findings = _split(document)
     if not findings:
         try:
             return catalog.build(docs, structure)
         except errors.SettingsInvalid as exc:
             findings = [
-                _relocate(document, data_centres, item)
-                for item in exc.findings
+                _locate(document, paths, item) for item in exc.findings
             ]
     raise errors.SettingsInvalid(findings)
 
 
-def _relocate(document, data_centres, finding):
+def _locate(document, paths, finding):
+    """Returns a finding about a document with its place in the file."""
     name, _, rest = finding.path.partition('$')
-    base = data_centres.get(finding.file or name, '$')
+    base = paths.get(finding.file or name, '$')
     path = base + rest
     line = _line_of(path, document.lines)
     return errors.Finding(document.file, line, path, finding.message)
 
 
 def _split(document):
-    docs, data_centres, findings = {}, {}, []
+    """Returns the documents of a catalog file, their paths, and findings."""
+    docs, paths, findings = {}, {}, []
 
-    def find(path, message):
+    def add_finding(path, message):
         line = _line_of(path, document.lines)
         findings.append(errors.Finding(document.file, line, path, message))
 
     raw = document.value if isinstance(document.value, dict) else {}
     if not raw:
-        find('$', 'a mapping of lists is expected')
+        add_finding('$', 'a mapping of lists is expected')
     for plural, items in raw.items():
         kind = catalog.KIND_OF_PLURAL.get(plural)
         if kind is None:
-            find(f'$.{plural}', f'unknown key: {plural}')
+            add_finding(f'$.{plural}', f'unknown key: {plural}')
             continue
         if not isinstance(items, list):
-            find(f'$.{plural}', 'a list is expected')
+            add_finding(f'$.{plural}', 'a list is expected')
             continue
         for index, item in enumerate(items):
             path = f'$.{plural}[{index}]'
             name = item.get('name') if isinstance(item, dict) else None
             if not isinstance(name, str):
-                find(path, 'required key "name" is missing')
+                add_finding(path, 'required key "name" is missing')
                 continue
             key = f'{kind}/{name}'
             if key in docs:
-                find(path, f'{kind} "{name}" stands twice')
+                add_finding(path, f'{kind} "{name}" stands twice')
             docs[key] = item
-            data_centres[key] = path
-    return docs, data_centres, findings
+            paths[key] = path
+    return docs, paths, findings
