--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -49,10 +49,11 @@
 
 
 class EnginePlacer:
-    """Chooses engines for prompts and learns from their responses.
+    """Chooses engines for prompts and adapts to their responses.
 
     Attributes:
-        instance_count: Number of equal instances that share the engines.
+        instance_count: Instances that share the engines, as the capacity of
+            all of them in units of the own one.
     """
 
     __slots__ = (
@@ -350,7 +351,7 @@
         self._in_flight.ended(placement)
 
     def prefilled(self, placement, taken_s, now):
-        """Learns from a prefill whose answer another engine decodes.
+        """Records a prefill whose answer another engine decodes.
 
         Args:
             placement: Where the prompt was placed.
@@ -366,7 +367,7 @@
         self._observe(engine, placement, taken_s, expected_s, now)
 
     def started(self, placement, taken_s, now):
-        """Learns from the first token of an answer.
+        """Records the first token of an answer and its delay.
 
         Args:
             placement: Where the prompt was placed.
@@ -391,6 +392,10 @@
             self._limiter(prefill, now).decrease(now)
 
     def _observe(self, engine, placement, taken_s, expected_s, now):
+        """Updates health, prefill rate and rate limit of an engine.
+
+        Only prompts of the class URGENT update the rates.
+        """
         if placement.priority_class is _prompts.PriorityClass.BACKGROUND:
             engine.succeeded(engine.excess_s, now)
             return
@@ -413,7 +418,14 @@
         )
 
     def token_gap(self, placement, gap_s, allowed_s, now):
-        """Learns from the time between two events of an answer."""
+        """Slows down the prompts of an engine after a long token gap.
+
+        Args:
+            placement: Where the prompt was placed.
+            gap_s: Time between two events of an answer.
+            allowed_s: Longest allowed time, 0 for no limit.
+            now: Time in seconds.
+        """
         if allowed_s and gap_s > TOKEN_GAP_RATIO * allowed_s:
             engine = placement.decode
             self._limiter(engine, now).decrease(now)
--- a/dandelionwinch/dispatch/_rate_limiter.py
+++ b/dandelionwinch/dispatch/_rate_limiter.py
@@ -106,7 +106,8 @@
             excess_s: Latency in excess of what the prompt itself needs.
             objective_s: Latency objective of the first token.
             prefill_rate: Estimated prefill rate of the engine.
-            instance_count: Number of equal instances that share the engine.
+            instance_count: Instances that share the engine, in units of the
+                own capacity.
             now: Time in seconds.
         """
         self._prefill_rate = prefill_rate
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -113,7 +113,7 @@
         self.log.event('request.refused', status=status, reason=reason)
 
     def set_instance_count(self, instance_count):
-        """Sets the number of equal instances that share the limits."""
+        """Sets the capacity of all instances in units of the own one."""
         self.fleet.instance_count = instance_count
         self.placer.instance_count = instance_count
 
--- a/dandelionwinch/placement/_load.py
+++ b/dandelionwinch/placement/_load.py
@@ -27,7 +27,7 @@
         running: Jobs that decode.
         waiting_tokens: Prompt tokens that are not prefilled yet.
         kv_tokens: Tokens in the KV cache.
-        away: Whether it is changing its role and takes no work.
+        away: Whether it is changing its role and accepts no work.
     """
 
     made_at: float
