--- a/dandelionwinch/attempts/_verdict.py
+++ b/dandelionwinch/attempts/_verdict.py
@@ -5,7 +5,7 @@
 from dandelionwinch import routes
 
 
-class Fate(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """What is known of an attempt that brought no whole answer."""
 
     NOT_SENT = 'not sent'
@@ -29,7 +29,7 @@
         repeat: Repeat of the route.
         fate: Fate of the last attempt.
     """
-    if fate in (Fate.NOT_SENT, Fate.NOT_EXECUTED):
+    if fate in (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_EXECUTED):
         return True
     return repeat is not routes.Repeat.ONCE
 
@@ -41,7 +41,7 @@
         fates: Fate of each attempt, in any order; may be empty.
         timed_out: Whether the time for the request is over.
     """
-    not_run = (Fate.NOT_SENT, Fate.NOT_EXECUTED)
+    not_run = (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_EXECUTED)
     if all(fate in not_run for fate in fates):
         return Final.NOT_RUN
     return Final.TIMEOUT if timed_out else Final.BAD_GATEWAY
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -69,7 +69,7 @@
             body += item.data
             if len(body) > MAX_BUFFERED_BYTES:
                 raise AttemptFailed(
-                    attempts.Fate.UNKNOWN, 'the answer is too large'
+                    attempts.AttemptOutcome.UNKNOWN, 'the answer is too large'
                 )
 
     def send(self, sending):
@@ -97,7 +97,7 @@
                 if reply.not_executed:
                     return head
                 raise AttemptFailed(
-                    attempts.Fate.UNKNOWN, 'an answer without an id'
+                    attempts.AttemptOutcome.UNKNOWN, 'an answer without an id'
                 )
             self._conn.spoil()
 
@@ -110,7 +110,7 @@
         try:
             return await self._conn.next(min(timeout_s, self._left_s()))
         except _connection.ConnectionLost as exc:
-            raise AttemptFailed(attempts.Fate.UNKNOWN, str(exc)) from exc
+            raise AttemptFailed(attempts.AttemptOutcome.UNKNOWN, str(exc)) from exc
 
     def check_executed(self, answer):
         """Raises AttemptFailed unless the upstream vouches for an answer."""
@@ -118,11 +118,11 @@
         status = answer.head.status
         if reply.not_executed or status == MISDIRECTED:
             raise AttemptFailed(
-                attempts.Fate.NOT_EXECUTED, f'status {status}, not executed'
+                attempts.AttemptOutcome.NOT_EXECUTED, f'status {status}, not executed'
             )
         if not reply.signed:
             raise AttemptFailed(
-                attempts.Fate.UNKNOWN, f'status {status} without a signature'
+                attempts.AttemptOutcome.UNKNOWN, f'status {status} without a signature'
             )
 
     def _left_s(self):
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -112,7 +112,7 @@
         """Makes one attempt; returns whether another one follows."""
         if self._left_s() < LEAST_LEFT_S:
             raise _conversation.NoFurtherAttempt(
-                attempts.Fate.NOT_SENT, 'no time is left'
+                attempts.AttemptOutcome.NOT_SENT, 'no time is left'
             )
         try:
             await self._attempt_once()
@@ -131,7 +131,7 @@
     def _another(self, exc):
         if not attempts.may_repeat(self._route.repeat, exc.fate):
             raise exc
-        if exc.fate is attempts.Fate.NOT_SENT:
+        if exc.fate is attempts.AttemptOutcome.NOT_SENT:
             if len(self._fates) >= MAX_CONNECT_TRIES:
                 raise exc
             return True
@@ -193,7 +193,7 @@
         belief.succeeded(excess_s, now)
         if again:
             raise _conversation.AttemptFailed(
-                attempts.Fate.FAILED,
+                attempts.AttemptOutcome.FAILED,
                 f'status {answer.head.status}',
                 relayed=answer,
             )
@@ -202,7 +202,7 @@
 
     def _nowhere(self):
         return _conversation.NoFurtherAttempt(
-            self._fates[-1] if self._fates else attempts.Fate.NOT_SENT,
+            self._fates[-1] if self._fates else attempts.AttemptOutcome.NOT_SENT,
             f'service "{self._service}" has no upstream left to try',
             relayed=self._relayed,
         )
@@ -245,7 +245,7 @@
 
     def _not_sent(self, belief, reason):
         self._full.add(belief.entry.id)
-        return _conversation.AttemptFailed(attempts.Fate.NOT_SENT, reason)
+        return _conversation.AttemptFailed(attempts.AttemptOutcome.NOT_SENT, reason)
 
     async def _connect(self, belief):
         """Takes a connection, and a retry out of the budget if need be."""
@@ -285,7 +285,7 @@
         except BaseException as exc:
             pool.discard(conn)
             fate = getattr(exc, 'fate', None)
-            if fate is attempts.Fate.UNKNOWN:
+            if fate is attempts.AttemptOutcome.UNKNOWN:
                 belief.failed(self._loop.time())
             raise
         finally:
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -77,7 +77,7 @@
         except _conversation.AttemptFailed as exc:
             self._attempt += 1
             raise _conversation.AttemptFailed(
-                attempts.Fate.NOT_EXECUTED, f'prefill: {exc}'
+                attempts.AttemptOutcome.NOT_EXECUTED, f'prefill: {exc}'
             ) from exc
         return f'{belief.entry.address}/{handle}'
 
@@ -91,9 +91,9 @@
         reply = self._gateway.dialect.reply(head)
         handle = self._gateway.dialect.handle(body)
         if head.status != 200 or not handle:
-            fate = attempts.Fate.UNKNOWN
+            fate = attempts.AttemptOutcome.UNKNOWN
             if reply.not_executed:
-                fate = attempts.Fate.NOT_EXECUTED
+                fate = attempts.AttemptOutcome.NOT_EXECUTED
             raise _conversation.AttemptFailed(
                 fate, f'status {head.status}, no handle'
             )
@@ -115,7 +115,7 @@
         try:
             await self._answer_at(placement, source, began)
         except _conversation.AttemptFailed as exc:
-            gone = source and exc.fate is attempts.Fate.NOT_EXECUTED
+            gone = source and exc.fate is attempts.AttemptOutcome.NOT_EXECUTED
             if not gone or isinstance(exc, _conversation.NoFurtherAttempt):
                 raise
             # The handle may be gone; the engine can read the prompt itself.
@@ -164,7 +164,7 @@
                 await self._deliver(head, event)
         if splitter.torn:
             raise _conversation.AttemptFailed(
-                attempts.Fate.UNKNOWN, 'a torn event'
+                attempts.AttemptOutcome.UNKNOWN, 'a torn event'
             )
         self._end_stream(head, placement)
 
@@ -184,7 +184,7 @@
             return splitter.feed(data)
         except ValueError as exc:
             raise _conversation.AttemptFailed(
-                attempts.Fate.UNKNOWN, str(exc)
+                attempts.AttemptOutcome.UNKNOWN, str(exc)
             ) from exc
 
     async def _deliver(self, head, event):
@@ -209,6 +209,6 @@
         talk.check_executed(answer)
         if self._streaming:
             raise _conversation.AttemptFailed(
-                attempts.Fate.FAILED, f'status {head.status} on resumption'
+                attempts.AttemptOutcome.FAILED, f'status {head.status} on resumption'
             )
         self._accept(belief, answer, self._loop.time())
