--- a/dandelionwinch/attempts/__init__.py
+++ b/dandelionwinch/attempts/__init__.py
@@ -2,8 +2,8 @@
 
 from dandelionwinch.attempts._budget import SharedBudget
 from dandelionwinch.attempts._verdict import AttemptOutcome
-from dandelionwinch.attempts._verdict import Final
+from dandelionwinch.attempts._verdict import FinalStatus
 from dandelionwinch.attempts._verdict import final_of
 from dandelionwinch.attempts._verdict import may_repeat
 
-__all__ = ['AttemptOutcome', 'Final', 'SharedBudget', 'final_of', 'may_repeat']
+__all__ = ['AttemptOutcome', 'FinalStatus', 'SharedBudget', 'final_of', 'may_repeat']
--- a/dandelionwinch/attempts/_verdict.py
+++ b/dandelionwinch/attempts/_verdict.py
@@ -14,7 +14,7 @@
     UNKNOWN = 'unknown'
 
 
-class Final(enum.IntEnum):
+class FinalStatus(enum.IntEnum):
     """Status of a final answer of our own."""
 
     BAD_GATEWAY = 502
@@ -43,5 +43,5 @@
     """
     not_run = (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_EXECUTED)
     if all(fate in not_run for fate in fates):
-        return Final.NOT_RUN
-    return Final.TIMEOUT if timed_out else Final.BAD_GATEWAY
+        return FinalStatus.NOT_RUN
+    return FinalStatus.TIMEOUT if timed_out else FinalStatus.BAD_GATEWAY
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -167,7 +167,7 @@
         timed_out = self._left_s() < LEAST_LEFT_S
         status = attempts.final_of(self._fates, timed_out)
         headers = []
-        if status is attempts.Final.NOT_RUN:
+        if status is attempts.FinalStatus.NOT_RUN:
             wait_s = RETRY_AFTER_S + self._gateway.rng.random() * (
                 RETRY_SPREAD_S
             )
