--- a/dandelionwinch/attempts/__init__.py
+++ b/dandelionwinch/attempts/__init__.py
@@ -3,7 +3,7 @@
 from dandelionwinch.attempts._budget import SharedBudget
 from dandelionwinch.attempts._verdict import AttemptOutcome
 from dandelionwinch.attempts._verdict import FinalStatus
-from dandelionwinch.attempts._verdict import final_of
+from dandelionwinch.attempts._verdict import final_status
 from dandelionwinch.attempts._verdict import may_repeat
 
-__all__ = ['AttemptOutcome', 'FinalStatus', 'SharedBudget', 'final_of', 'may_repeat']
+__all__ = ['AttemptOutcome', 'FinalStatus', 'SharedBudget', 'final_status', 'may_repeat']
--- a/dandelionwinch/attempts/_verdict.py
+++ b/dandelionwinch/attempts/_verdict.py
@@ -34,7 +34,7 @@
     return repeat is not routes.Repeat.ONCE
 
 
-def final_of(fates, timed_out):
+def final_status(fates, timed_out):
     """Returns the status that is true of all attempts together.
 
     Args:
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -165,7 +165,7 @@
             self._gateway.closed(self, relayed.head.status, reason)
             return
         timed_out = self._left_s() < LEAST_LEFT_S
-        status = attempts.final_of(self._fates, timed_out)
+        status = attempts.final_status(self._fates, timed_out)
         headers = []
         if status is attempts.FinalStatus.NOT_RUN:
             wait_s = RETRY_AFTER_S + self._gateway.rng.random() * (
