--- a/dandelionwinch/attempts/__init__.py
+++ b/dandelionwinch/attempts/__init__.py
@@ -4,6 +4,6 @@
 from dandelionwinch.attempts._verdict import AttemptOutcome
 from dandelionwinch.attempts._verdict import FinalStatus
 from dandelionwinch.attempts._verdict import final_status
-from dandelionwinch.attempts._verdict import may_repeat
+from dandelionwinch.attempts._verdict import may_retry
 
-__all__ = ['AttemptOutcome', 'FinalStatus', 'SharedBudget', 'final_status', 'may_repeat']
+__all__ = ['AttemptOutcome', 'FinalStatus', 'SharedBudget', 'final_status', 'may_retry']
--- a/dandelionwinch/attempts/_verdict.py
+++ b/dandelionwinch/attempts/_verdict.py
@@ -22,7 +22,7 @@
     TIMEOUT = 504
 
 
-def may_repeat(repeat, fate):
+def may_retry(repeat, fate):
     """Tells whether a request may be sent once more.
 
     Args:
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -129,7 +129,7 @@
         raise NotImplementedError
 
     def _another(self, exc):
-        if not attempts.may_repeat(self._route.repeat, exc.fate):
+        if not attempts.may_retry(self._route.repeat, exc.fate):
             raise exc
         if exc.fate is attempts.AttemptOutcome.NOT_SENT:
             if len(self._fates) >= MAX_CONNECT_TRIES:
