--- a/dandelionwinch/attempts/_budget.py
+++ b/dandelionwinch/attempts/_budget.py
@@ -7,7 +7,7 @@
 SLACK_SHARE = 0.7
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """One instance's part of the retry budget of all services.
 
     Each instance earns the allowed ratio of the requests it received
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -39,7 +39,7 @@
         self.rng = rng or random.Random()
         self.distances = dispatch.Distances(cfg.data_centre, cfg.regions)
         self.placer = dispatch.EnginePlacer(self.distances, self.rng)
-        self.budget = attempts.SharedBudget(
+        self.budget = attempts.SharedRetryBudget(
             cfg.retry_ratio, cfg.retry_slack, cfg.retry_window_s
         )
         self.fleet = _fleet.Fleet(loop)
