--- a/dandelionwinch/attempts/_budget.py
+++ b/dandelionwinch/attempts/_budget.py
@@ -34,7 +34,7 @@
         self._requests = {}
         self._retries = {}
 
-    def received(self, service, now):
+    def record_request(self, service, now):
         """Notes a caller's request for a service."""
         self._add(self._requests, service, now)
         self._grown(now)
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -101,7 +101,7 @@
     async def run(self):
         """Serves the request to its final answer."""
         now = self._loop.time()
-        self._gateway.budget.received(self._service, now)
+        self._gateway.budget.record_request(self._service, now)
         try:
             while await self._try_once():
                 pass
