--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -8,7 +8,7 @@
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
 from dandelionwinch.gateway._inquiry import Dialect
-from dandelionwinch.gateway._inquiry import Inquiry
+from dandelionwinch.gateway._inquiry import CallerRequest
 from dandelionwinch.gateway._inquiry import Reply
 from dandelionwinch.gateway._inquiry import Sending
 from dandelionwinch.gateway._pool import NotConnected
@@ -22,7 +22,7 @@
     'Fleet',
     'Gateway',
     'Head',
-    'Inquiry',
+    'CallerRequest',
     'NotConnected',
     'Pool',
     'Reply',
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Inquiry:
+class CallerRequest:
     """One caller's request, as read by a dialect.
 
     Attributes:
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -56,7 +56,7 @@
             pair for pair in head.end_to_end() if pair[0] not in SYSTEM_ONLY
         )
         timeout_ms = _number(head.header(TIMEOUT_MS))
-        return gateway.Inquiry(
+        return gateway.CallerRequest(
             request_id,
             head.method,
             head.target,
