--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -41,11 +41,11 @@
 
     __slots__ = ('_conn', '_deadline', '_dialect', '_inquiry', '_loop')
 
-    def __init__(self, loop, conn, dialect, inquiry, deadline):
+    def __init__(self, loop, conn, dialect, req, deadline):
         self._loop = loop
         self._conn = conn
         self._dialect = dialect
-        self._inquiry = inquiry
+        self._inquiry = req
         self._deadline = deadline
 
     async def ask(self, sending, patience_s):
@@ -74,10 +74,10 @@
 
     def send(self, sending):
         """Sends the request."""
-        inquiry = self._inquiry
-        headers = self._dialect.headers(inquiry, sending)
+        req = self._inquiry
+        headers = self._dialect.headers(req, sending)
         data = _codec.request_bytes(
-            inquiry.method, inquiry.target, headers, inquiry.body
+            req.method, req.target, headers, req.body
         )
         self._conn.begin(data)
 
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -50,25 +50,25 @@
         'upstream_id',
     )
 
-    def __init__(self, gateway, inquiry, route, caller, began):
+    def __init__(self, gateway, req, route, caller, began):
         self._gateway = gateway
         self._fleet = gateway.fleet
         self._loop = gateway.loop
-        self._inquiry = inquiry
+        self._inquiry = req
         self._route = route
         self._caller = caller
         self._began = began
         limit_s = route.timeout_s
-        if inquiry.timeout_s is not None:
-            limit_s = min(limit_s, inquiry.timeout_s)
+        if req.timeout_s is not None:
+            limit_s = min(limit_s, req.timeout_s)
         self._deadline = began + limit_s
-        self._service = route.service_for(inquiry.id)
+        self._service = route.service_for(req.id)
         self._fates = []
         self._tried = set()
         self._full = set()
         self._attempt = 0
         self._relayed = None
-        self._last_event = inquiry.last_event
+        self._last_event = req.last_event
         self._streaming = False
         self.first_event_s = 0.0
         self.longest_gap_s = 0.0
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -85,16 +85,16 @@
         if route is None:
             self._refuse(caller, incoming, 404, 'no route matches')
             return
-        inquiry = self.dialect.read(head, bytes(incoming.body))
+        req = self.dialect.read(head, bytes(incoming.body))
         kind = _call.Call
-        if route.streaming and inquiry.prompt is not None:
+        if route.streaming and req.prompt is not None:
             kind = _generation.Generation
-        exchange = kind(self, inquiry, route, caller, incoming.at)
+        exchange = kind(self, req, route, caller, incoming.at)
         try:
             await exchange.run()
         except BaseException as exc:
             self.log.event(
-                'request.left', request=inquiry.id, reason=repr(exc)
+                'request.left', request=req.id, reason=repr(exc)
             )
             raise
 
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -67,9 +67,9 @@
             _number(head.header(LAST_EVENT_ID)),
         )
 
-    def headers(self, inquiry, sending):
+    def headers(self, req, sending):
         """Returns the headers of a request to an upstream."""
-        pairs = list(inquiry.headers)
+        pairs = list(req.headers)
         pairs.append((TARGET, sending.upstream_id))
         pairs.append((TIMEOUT_MS, str(max(1, int(sending.left_s * 1e3)))))
         if sending.last_event is not None:
