--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -10,7 +10,7 @@
 from dandelionwinch.gateway._inquiry import Dialect
 from dandelionwinch.gateway._inquiry import CallerRequest
 from dandelionwinch.gateway._inquiry import Reply
-from dandelionwinch.gateway._inquiry import Sending
+from dandelionwinch.gateway._inquiry import AttemptParams
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
 from dandelionwinch.gateway._server import Server
@@ -26,7 +26,7 @@
     'NotConnected',
     'Pool',
     'Reply',
-    'Sending',
+    'AttemptParams',
     'Server',
     'read_whole',
     'request_bytes',
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -263,7 +263,7 @@
         return pool, conn
 
     def _sending(self, belief, **more):
-        return _inquiry.Sending(
+        return _inquiry.AttemptParams(
             belief.entry.id,
             self._left_s(),
             last_event=self._last_event,
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Sending:
+class AttemptParams:
     """What the system says to an upstream beside the caller's request.
 
     Attributes:
