--- a/dandelionwinch/gateway/_call.py
+++ b/dandelionwinch/gateway/_call.py
@@ -21,9 +21,9 @@
         )
         if belief is None:
             raise self._nowhere()
-        sending = self._sending(belief)
+        params = self._sending(belief)
         pool, conn = await self._connect(belief)
         began = self._loop.time()
         async with self._talk(belief, pool, conn) as talk:
-            answer = await talk.ask(sending, self._patience_s())
+            answer = await talk.ask(params, self._patience_s())
         self._accept(belief, answer, began)
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -48,9 +48,9 @@
         self._inquiry = req
         self._deadline = deadline
 
-    async def ask(self, sending, patience_s):
+    async def ask(self, params, patience_s):
         """Sends the request and returns the whole Answer."""
-        self.send(sending)
+        self.send(params)
         head = await self.head(patience_s)
         answer = Answer(head, await self.body(patience_s))
         self.check_executed(answer)
@@ -72,10 +72,10 @@
                     attempts.AttemptOutcome.UNKNOWN, 'the answer is too large'
                 )
 
-    def send(self, sending):
+    def send(self, params):
         """Sends the request."""
         req = self._inquiry
-        headers = self._dialect.headers(req, sending)
+        headers = self._dialect.headers(req, params)
         data = _codec.request_bytes(
             req.method, req.target, headers, req.body
         )
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -67,13 +67,13 @@
 
     async def _prefill(self, placement):
         belief = placement.prefill
-        sending = self._sending(
+        params = self._sending(
             belief, prefill_only=True, urgency=placement.urgency
         )
         pool, conn = await self._take(belief)
         try:
             async with self._talk(belief, pool, conn) as talk:
-                handle = await self._ask_prefill(talk, sending, placement.lane)
+                handle = await self._ask_prefill(talk, params, placement.lane)
         except _conversation.AttemptFailed as exc:
             self._attempt += 1
             raise _conversation.AttemptFailed(
@@ -81,8 +81,8 @@
             ) from exc
         return f'{belief.entry.address}/{handle}'
 
-    async def _ask_prefill(self, talk, sending, lane):
-        talk.send(sending)
+    async def _ask_prefill(self, talk, params, lane):
+        talk.send(params)
         patience_s = self._left_s()
         if lane is not dispatch.Lane.BACKGROUND:
             patience_s = PREFILL_SILENCE_FACTOR * self._route.objective_s
@@ -133,12 +133,12 @@
         if source:
             urgency = dispatch.HANDED_OVER_URGENCY
             self._gateway.placer.handed_over(placement, self._loop.time())
-        sending = self._sending(belief, source=source, urgency=urgency)
+        params = self._sending(belief, source=source, urgency=urgency)
         async with self._talk(belief, pool, conn) as talk:
-            await self._stream(talk, sending, placement, began)
+            await self._stream(talk, params, placement, began)
 
-    async def _stream(self, talk, sending, placement, began):
-        talk.send(sending)
+    async def _stream(self, talk, params, placement, began):
+        talk.send(params)
         patience_s = self._patience_s()
         head = await talk.head(patience_s)
         reply = self._gateway.dialect.reply(head)
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -70,7 +70,7 @@
     def read(self, head, body):
         """Returns the Inquiry of a request, or raises BadRequest."""
 
-    def headers(self, req, sending):
+    def headers(self, req, params):
         """Returns the headers of a request to an upstream, as pairs."""
 
     def reply(self, head):
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -67,19 +67,19 @@
             _number(head.header(LAST_EVENT_ID)),
         )
 
-    def headers(self, req, sending):
+    def headers(self, req, params):
         """Returns the headers of a request to an upstream."""
         pairs = list(req.headers)
-        pairs.append((TARGET, sending.upstream_id))
-        pairs.append((TIMEOUT_MS, str(max(1, int(sending.left_s * 1e3)))))
-        if sending.last_event is not None:
-            pairs.append((LAST_EVENT_ID, str(sending.last_event)))
-        if sending.urgency is not None:
-            pairs.append((PRIORITY, str(sending.urgency)))
-        if sending.prefill_only:
+        pairs.append((TARGET, params.upstream_id))
+        pairs.append((TIMEOUT_MS, str(max(1, int(params.left_s * 1e3)))))
+        if params.last_event is not None:
+            pairs.append((LAST_EVENT_ID, str(params.last_event)))
+        if params.urgency is not None:
+            pairs.append((PRIORITY, str(params.urgency)))
+        if params.prefill_only:
             pairs.append((STAGE, 'prefill'))
-        if sending.source:
-            pairs.append((KV_SOURCE, sending.source))
+        if params.source:
+            pairs.append((KV_SOURCE, params.source))
         return pairs
 
     def reply(self, head):
