--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -34,7 +34,7 @@
 
     Attributes:
         upstream_id: The only upstream that may run it.
-        left_s: Time that is left for it.
+        timeout_s: Time that is left for it.
         urgency: 0 (first) to 9, None for the upstream's default.
         prefill_only: Whether only the prompt is to be read.
         source: Address and handle of a prefilled prompt, or ''.
@@ -42,7 +42,7 @@
     """
 
     upstream_id: str
-    left_s: float
+    timeout_s: float
     urgency: int | None = None
     prefill_only: bool = False
     source: str = ''
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -71,7 +71,7 @@
         """Returns the headers of a request to an upstream."""
         pairs = list(req.headers)
         pairs.append((TARGET, params.upstream_id))
-        pairs.append((TIMEOUT_MS, str(max(1, int(params.left_s * 1e3)))))
+        pairs.append((TIMEOUT_MS, str(max(1, int(params.timeout_s * 1e3)))))
         if params.last_event is not None:
             pairs.append((LAST_EVENT_ID, str(params.last_event)))
         if params.urgency is not None:
