--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -68,7 +68,7 @@
         self._full = set()
         self._attempt = 0
         self._relayed = None
-        self._last_event = req.last_event
+        self._last_event = req.last_event_id
         self._streaming = False
         self.first_event_s = 0.0
         self.longest_gap_s = 0.0
@@ -266,7 +266,7 @@
         return _inquiry.AttemptParams(
             belief.entry.id,
             self._left_s(),
-            last_event=self._last_event,
+            last_event_id=self._last_event,
             **more,
         )
 
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -25,7 +25,7 @@
     body: bytes
     timeout_s: float | None
     prompt: dispatch.Prompt | None = None
-    last_event: int | None = None
+    last_event_id: int | None = None
 
 
 @attrs.frozen
@@ -46,7 +46,7 @@
     urgency: int | None = None
     prefill_only: bool = False
     source: str = ''
-    last_event: int | None = None
+    last_event_id: int | None = None
 
 
 @attrs.frozen
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -72,8 +72,8 @@
         pairs = list(req.headers)
         pairs.append((TARGET, params.upstream_id))
         pairs.append((TIMEOUT_MS, str(max(1, int(params.timeout_s * 1e3)))))
-        if params.last_event is not None:
-            pairs.append((LAST_EVENT_ID, str(params.last_event)))
+        if params.last_event_id is not None:
+            pairs.append((LAST_EVENT_ID, str(params.last_event_id)))
         if params.urgency is not None:
             pairs.append((PRIORITY, str(params.urgency)))
         if params.prefill_only:
