--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -133,7 +133,7 @@
         if source:
             urgency = dispatch.HANDED_OVER_URGENCY
             self._gateway.placer.handed_over(placement, self._loop.time())
-        params = self._sending(belief, source=source, urgency=urgency)
+        params = self._sending(belief, kv_source=source, urgency=urgency)
         async with self._talk(belief, pool, conn) as talk:
             await self._stream(talk, params, placement, began)
 
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -37,7 +37,7 @@
         timeout_s: Time that is left for it.
         urgency: 0 (first) to 9, None for the upstream's default.
         prefill_only: Whether only the prompt is to be read.
-        source: Address and handle of a prefilled prompt, or ''.
+        kv_source: Address and handle of a prefilled prompt, or ''.
         last_event: Id of the last event already delivered, or None.
     """
 
@@ -45,7 +45,7 @@
     timeout_s: float
     urgency: int | None = None
     prefill_only: bool = False
-    source: str = ''
+    kv_source: str = ''
     last_event_id: int | None = None
 
 
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -78,8 +78,8 @@
             pairs.append((PRIORITY, str(params.urgency)))
         if params.prefill_only:
             pairs.append((STAGE, 'prefill'))
-        if params.source:
-            pairs.append((KV_SOURCE, params.source))
+        if params.kv_source:
+            pairs.append((KV_SOURCE, params.kv_source))
         return pairs
 
     def reply(self, head):
