--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -9,7 +9,7 @@
 from dandelionwinch.gateway._gateway import Gateway
 from dandelionwinch.gateway._inquiry import Dialect
 from dandelionwinch.gateway._inquiry import CallerRequest
-from dandelionwinch.gateway._inquiry import Reply
+from dandelionwinch.gateway._inquiry import ReplyHeaders
 from dandelionwinch.gateway._inquiry import AttemptParams
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
@@ -25,7 +25,7 @@
     'CallerRequest',
     'NotConnected',
     'Pool',
-    'Reply',
+    'ReplyHeaders',
     'AttemptParams',
     'Server',
     'read_whole',
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class Reply:
+class ReplyHeaders:
     """What an upstream's response head says.
 
     Attributes:
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -84,7 +84,7 @@
 
     def reply(self, head):
         """Returns the Reply of a response head."""
-        return gateway.Reply(
+        return gateway.ReplyHeaders(
             head.header(REQUEST_ID),
             bool(head.header(NOT_EXECUTED)),
             bool(head.header(SIGNATURE)),
