--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -75,7 +75,7 @@
     def send(self, params):
         """Sends the request."""
         req = self._inquiry
-        headers = self._dialect.headers(req, params)
+        headers = self._dialect.upstream_headers(req, params)
         data = _codec.request_bytes(
             req.method, req.target, headers, req.body
         )
@@ -89,7 +89,7 @@
             head = await self.item(left_s)
             while not isinstance(head, _codec.Head):
                 head = await self.item(left_s)
-            reply = self._dialect.reply(head)
+            reply = self._dialect.parse_reply(head)
             if reply.request_id == self._inquiry.id:
                 return head
             if not reply.request_id:
@@ -114,7 +114,7 @@
 
     def check_executed(self, answer):
         """Raises AttemptFailed unless the upstream vouches for an answer."""
-        reply = self._dialect.reply(answer.head)
+        reply = self._dialect.parse_reply(answer.head)
         status = answer.head.status
         if reply.not_executed or status == MISDIRECTED:
             raise AttemptFailed(
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -171,7 +171,7 @@
             wait_s = RETRY_AFTER_S + self._gateway.rng.random() * (
                 RETRY_SPREAD_S
             )
-            headers = self._gateway.dialect.come_back(wait_s)
+            headers = self._gateway.dialect.retry_after_headers(wait_s)
         self.outcome = status.name.lower()
         self._caller.answer(int(status), headers, reason.encode())
         self._gateway.closed(self, int(status), reason)
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -67,17 +67,17 @@
 class Dialect(typing.Protocol):
     """Translates between HTTP messages and the gateway's types."""
 
-    def read(self, head, body):
+    def parse_request(self, head, body):
         """Returns the Inquiry of a request, or raises BadRequest."""
 
-    def headers(self, req, params):
+    def upstream_headers(self, req, params):
         """Returns the headers of a request to an upstream, as pairs."""
 
-    def reply(self, head):
+    def parse_reply(self, head):
         """Returns the Reply of a response head."""
 
-    def handle(self, body):
+    def parse_kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
 
-    def come_back(self, wait_s):
+    def retry_after_headers(self, wait_s):
         """Returns the headers that say when to come back, as pairs."""
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -43,7 +43,7 @@
 
     __slots__ = ()
 
-    def read(self, head, body):
+    def parse_request(self, head, body):
         """Returns the Inquiry of a caller's request.
 
         Raises:
@@ -67,7 +67,7 @@
             _number(head.header(LAST_EVENT_ID)),
         )
 
-    def headers(self, req, params):
+    def upstream_headers(self, req, params):
         """Returns the headers of a request to an upstream."""
         pairs = list(req.headers)
         pairs.append((TARGET, params.upstream_id))
@@ -82,7 +82,7 @@
             pairs.append((KV_SOURCE, params.kv_source))
         return pairs
 
-    def reply(self, head):
+    def parse_reply(self, head):
         """Returns the Reply of a response head."""
         return gateway.ReplyHeaders(
             head.header(REQUEST_ID),
@@ -90,7 +90,7 @@
             bool(head.header(SIGNATURE)),
         )
 
-    def handle(self, body):
+    def parse_kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
         try:
             value = json.loads(body)
@@ -135,7 +135,7 @@
         count = value.get('sequence')
         return count if type(count) is int else None
 
-    def come_back(self, wait_s):
+    def retry_after_headers(self, wait_s):
         """Returns the headers that say when to come back."""
         return [('Retry-After', f'{wait_s:.2f}')]
 
