--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -78,14 +78,14 @@
         head = incoming.head
         table = self.fleet.table
         if table is None:
-            headers = self.dialect.come_back(NO_ROUTES_RETRY_S)
+            headers = self.dialect.retry_after_headers(NO_ROUTES_RETRY_S)
             self._refuse(caller, incoming, 503, 'no routes yet', headers)
             return
         route = table.match(head.header('host'), head.path)
         if route is None:
             self._refuse(caller, incoming, 404, 'no route matches')
             return
-        req = self.dialect.read(head, bytes(incoming.body))
+        req = self.dialect.parse_request(head, bytes(incoming.body))
         kind = _call.Call
         if route.streaming and req.prompt is not None:
             kind = _generation.Generation
