--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -56,7 +56,7 @@
             request = gateway.request_bytes(
                 *self._dialect.order(change, self._name, token, accepted)
             )
-            conn = await pool.take(ORDER_TIMEOUT_S)
+            conn = await pool.acquire(ORDER_TIMEOUT_S)
             try:
                 # Nothing is awaited between this check and the bytes.
                 if not may_order():
@@ -74,7 +74,7 @@
         request = gateway.request_bytes(
             *self._dialect.report(upstream_id), b''
         )
-        conn = await pool.take(ORDER_TIMEOUT_S)
+        conn = await pool.acquire(ORDER_TIMEOUT_S)
         try:
             conn.begin(request)
             _head, body = await gateway.read_whole(conn, ORDER_TIMEOUT_S)
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -226,7 +226,7 @@
         pool = self._fleet.pool(belief)
         self.upstream_id = belief.entry.id
         try:
-            conn = await pool.take(
+            conn = await pool.acquire(
                 min(TAKE_TIMEOUT_S, self._left_s()), fresh_s=fresh_s
             )
         except _pool.PoolBusy as exc:
--- a/dandelionwinch/gateway/_pool.py
+++ b/dandelionwinch/gateway/_pool.py
@@ -29,7 +29,7 @@
         self.limit = limit
         self.open = 0
 
-    async def take(self, timeout_s, *, fresh_s=0.0):
+    async def acquire(self, timeout_s, *, fresh_s=0.0):
         """Returns a connection that carries no request.
 
         Args:
--- a/dandelionwinch/platform/_store.py
+++ b/dandelionwinch/platform/_store.py
@@ -119,7 +119,7 @@
 
     async def _exchange(self, request, timeout_s):
         try:
-            conn = await self._pool.take(timeout_s)
+            conn = await self._pool.acquire(timeout_s)
         except gateway.NotConnected as exc:
             raise control.StoreRefused(str(exc)) from exc
         try:
