--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -290,4 +290,4 @@
             raise
         finally:
             belief.active -= 1
-        pool.give(conn)
+        pool.release(conn)
--- a/dandelionwinch/gateway/_pool.py
+++ b/dandelionwinch/gateway/_pool.py
@@ -90,7 +90,7 @@
                 f'all connections to "{self._address}" work'
             ) from exc
 
-    def give(self, conn):
+    def release(self, conn):
         """Takes back a connection after its exchange."""
         if conn.finish() and self.open <= self.limit:
             self._idle.append(conn)
--- a/dandelionwinch/platform/_store.py
+++ b/dandelionwinch/platform/_store.py
@@ -131,7 +131,7 @@
         except BaseException:
             self._pool.discard(conn)
             raise
-        self._pool.give(conn)
+        self._pool.release(conn)
         return head.status, text
 
 
