--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -238,7 +238,7 @@
             raise self._not_sent(belief, str(exc)) from exc
         if not self._fleet.beliefs.serves(belief):
             # It has begun to leave while this request waited.
-            pool.give_unused(conn)
+            pool.release_unused(conn)
             reason = f'upstream "{belief.entry.id}" is leaving'
             raise self._not_sent(belief, reason)
         return pool, conn
@@ -254,7 +254,7 @@
             fresh_s = FRESH_ONCE_S
         pool, conn = await self._take(belief, fresh_s)
         if self._attempt and not self._gateway.spend_retry(self._service):
-            pool.give_unused(conn)
+            pool.release_unused(conn)
             raise _conversation.NoFurtherAttempt(
                 self._fates[-1], 'the retry budget is spent', self._relayed
             )
--- a/dandelionwinch/gateway/_pool.py
+++ b/dandelionwinch/gateway/_pool.py
@@ -98,7 +98,7 @@
         else:
             self._drop(conn)
 
-    def give_unused(self, conn):
+    def release_unused(self, conn):
         """Takes back a connection that was not used."""
         self._idle.append(conn)
         self._wake_one()
