--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -61,7 +61,7 @@
                 # Nothing is awaited between this check and the bytes.
                 if not may_order():
                     return Sent(0, 'the lease is not certain')
-                conn.begin(request)
+                conn.send(request)
                 head = await conn.next(ORDER_TIMEOUT_S)
             finally:
                 pool.discard(conn)
@@ -76,7 +76,7 @@
         )
         conn = await pool.acquire(ORDER_TIMEOUT_S)
         try:
-            conn.begin(request)
+            conn.send(request)
             _head, body = await gateway.read_whole(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
--- a/dandelionwinch/gateway/_connection.py
+++ b/dandelionwinch/gateway/_connection.py
@@ -170,7 +170,7 @@
         """Tells whether a further request may be sent on it."""
         return self._exc is None and not self._transport.is_closing()
 
-    def begin(self, data):
+    def send(self, data):
         """Sends a request.
 
         Args:
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -79,7 +79,7 @@
         data = _codec.request_bytes(
             req.method, req.target, headers, req.body
         )
-        self._conn.begin(data)
+        self._conn.send(data)
 
     async def head(self, patience_s):
         """Returns the head that answers this request; skips others."""
--- a/dandelionwinch/platform/_store.py
+++ b/dandelionwinch/platform/_store.py
@@ -123,7 +123,7 @@
         except gateway.NotConnected as exc:
             raise control.StoreRefused(str(exc)) from exc
         try:
-            conn.begin(request)
+            conn.send(request)
             head, text = await gateway.read_whole(conn, timeout_s)
         except gateway.ConnectionLost as exc:
             self._pool.discard(conn)
