--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -62,7 +62,7 @@
                 if not may_order():
                     return Sent(0, 'the lease is not certain')
                 conn.send(request)
-                head = await conn.next(ORDER_TIMEOUT_S)
+                head = await conn.next_item(ORDER_TIMEOUT_S)
             finally:
                 pool.discard(conn)
         except (gateway.NotConnected, gateway.ConnectionLost) as exc:
--- a/dandelionwinch/gateway/_connection.py
+++ b/dandelionwinch/gateway/_connection.py
@@ -182,7 +182,7 @@
         self._until_close = False
         self._transport.write(data)
 
-    async def next(self, timeout_s):
+    async def next_item(self, timeout_s):
         """Returns the next Head, Data or End of the response.
 
         Raises:
@@ -245,10 +245,10 @@
     """
     deadline = asyncio.get_running_loop().time() + timeout_s
     body = bytearray()
-    head = await conn.next(timeout_s)
+    head = await conn.next_item(timeout_s)
     while True:
         left_s = deadline - asyncio.get_running_loop().time()
-        item = await conn.next(left_s)
+        item = await conn.next_item(left_s)
         if isinstance(item, End):
             return head, bytes(body)
         body += item.data
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -108,7 +108,7 @@
             AttemptFailed: If the answer broke off or time is over.
         """
         try:
-            return await self._conn.next(min(timeout_s, self._left_s()))
+            return await self._conn.next_item(min(timeout_s, self._left_s()))
         except _connection.ConnectionLost as exc:
             raise AttemptFailed(attempts.AttemptOutcome.UNKNOWN, str(exc)) from exc
 
