--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -77,7 +77,7 @@
         conn = await pool.acquire(ORDER_TIMEOUT_S)
         try:
             conn.send(request)
-            _head, body = await gateway.read_whole(conn, ORDER_TIMEOUT_S)
+            _head, body = await gateway.read_response(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
         return self._dialect.accepted_orders(body)
--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -4,7 +4,7 @@
 from dandelionwinch.gateway._codec import Head
 from dandelionwinch.gateway._codec import request_bytes
 from dandelionwinch.gateway._connection import ConnectionLost
-from dandelionwinch.gateway._connection import read_whole
+from dandelionwinch.gateway._connection import read_response
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
 from dandelionwinch.gateway._inquiry import Dialect
@@ -28,6 +28,6 @@
     'ReplyHeaders',
     'AttemptParams',
     'Server',
-    'read_whole',
+    'read_response',
     'request_bytes',
 ]
--- a/dandelionwinch/gateway/_connection.py
+++ b/dandelionwinch/gateway/_connection.py
@@ -237,7 +237,7 @@
             self._transport.abort()
 
 
-async def read_whole(conn, timeout_s):
+async def read_response(conn, timeout_s):
     """Returns head and body of the next answer on a connection.
 
     Raises:
--- a/dandelionwinch/platform/_store.py
+++ b/dandelionwinch/platform/_store.py
@@ -124,7 +124,7 @@
             raise control.StoreRefused(str(exc)) from exc
         try:
             conn.send(request)
-            head, text = await gateway.read_whole(conn, timeout_s)
+            head, text = await gateway.read_response(conn, timeout_s)
         except gateway.ConnectionLost as exc:
             self._pool.discard(conn)
             raise control.StoreFailed(f'the store: {exc}') from exc
