--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -173,13 +173,13 @@
             )
             headers = self._gateway.dialect.retry_after_headers(wait_s)
         self.outcome = status.name.lower()
-        self._caller.answer(int(status), headers, reason.encode())
+        self._caller.respond(int(status), headers, reason.encode())
         self._gateway.closed(self, int(status), reason)
 
     def _relay_whole(self, answer):
         self.outcome = 'relayed'
         headers = answer.head.end_to_end()
-        self._caller.answer(answer.head.status, headers, answer.body)
+        self._caller.respond(answer.head.status, headers, answer.body)
 
     def _accept(self, belief, answer, began):
         now = self._loop.time()
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -106,7 +106,7 @@
             status=status,
             reason=reason,
         )
-        caller.answer(status, headers, reason.encode())
+        caller.respond(status, headers, reason.encode())
 
     def refused_early(self, status, reason):
         """Notes a request that was refused before it was whole."""
--- a/dandelionwinch/gateway/_server.py
+++ b/dandelionwinch/gateway/_server.py
@@ -150,7 +150,7 @@
         if self._task is not None:
             self._closing_after = True
             return
-        self.answer(status, (), reason.encode(), close=True)
+        self.respond(status, (), reason.encode(), close=True)
         self._close()
 
     @property
@@ -158,7 +158,7 @@
         """Tells whether the connection ends with the present answer."""
         return self._closing_after or self._server.draining
 
-    def answer(self, status, headers, body, *, close=False):
+    def respond(self, status, headers, body, *, close=False):
         """Writes a whole answer."""
         pairs = list(headers)
         pairs.append(('Content-Length', str(len(body))))
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -47,10 +47,10 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def _ask_ready(self, incoming, caller):
-        caller.answer(200 if self.instance.ready else 503, (), b'')
+        caller.respond(200 if self.instance.ready else 503, (), b'')
 
     async def _metrics(self, incoming, caller):
-        caller.answer(200, (), self.instance.metrics())
+        caller.respond(200, (), self.instance.metrics())
 
     async def _resolve(self, incoming, caller):
         query = urllib.parse.parse_qs(incoming.head.target.partition('?')[2])
@@ -58,10 +58,10 @@
             query.get('zone', [''])[0], query.get('region', [''])[0]
         )
         if not found:
-            caller.answer(503, (), b'no instance is known')
+            caller.respond(503, (), b'no instance is known')
             return
         body = json.dumps({'addresses': found, 'ttlS': ttl_s})
-        caller.answer(200, _JSON, body.encode())
+        caller.respond(200, _JSON, body.encode())
 
     def reload(self):
         """Reads the settings again; addresses stay until a restart."""
