--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_steward.py
@@ -162,7 +162,7 @@
             change.role.value.encode(),
             self._lease,
         )
-        self._gateway.changing(change.upstream_id, CHANGE_S)
+        self._gateway.begin_role_change(change.upstream_id, CHANGE_S)
         await asyncio.sleep(ANNOUNCE_S)
         await self._renew()
         if self._gateway.fleet.beliefs.serves(belief):
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -191,7 +191,7 @@
         belief = self._gateway.fleet.beliefs.get(name)
         if belief is None or belief.entry.role.value == role:
             return
-        self._gateway.changing(name, _steward.CHANGE_S)
+        self._gateway.begin_role_change(name, _steward.CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -117,7 +117,7 @@
         self.fleet.parts = parts
         self.placer.parts = parts
 
-    def changing(self, upstream_id, span_s):
+    def begin_role_change(self, upstream_id, span_s):
         """Keeps requests away from an engine that changes its role."""
         belief = self.fleet.beliefs.get(upstream_id)
         if belief is not None:
