--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -225,7 +225,7 @@
         if beliefs.apply(entry):
             self._gateway.placer.forget(name)
         if before is not None and before.role is not entry.role:
-            self._gateway.changed(name)
+            self._gateway.end_role_change(name)
         if before is None or (before.ready, before.role, before.born) != (
             entry.ready,
             entry.role,
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -123,7 +123,7 @@
         if belief is not None:
             belief.changing_until = self.loop.time() + span_s
 
-    def changed(self, upstream_id):
+    def end_role_change(self, upstream_id):
         """Lets an engine that has its new role take requests."""
         belief = self.fleet.beliefs.get(upstream_id)
         if belief is not None:
