--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -72,7 +72,7 @@
             loop,
             self._gateway.handle,
             routes.Limits(),
-            self._gateway.refused_early,
+            self._gateway.log_early_refusal,
         )
         if cfg.callers:
             self._servers['callers'] = (cfg.callers, self._callers)
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -108,7 +108,7 @@
         )
         caller.respond(status, headers, reason.encode())
 
-    def refused_early(self, status, reason):
+    def log_early_refusal(self, status, reason):
         """Notes a request that was refused before it was whole."""
         self.log.event('request.refused', status=status, reason=reason)
 
