--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -112,7 +112,7 @@
         """Notes a request that was refused before it was whole."""
         self.log.event('request.refused', status=status, reason=reason)
 
-    def set_parts(self, parts):
+    def set_instance_count(self, parts):
         """Takes the number of parts like its own that limits are cut in."""
         self.fleet.parts = parts
         self.placer.parts = parts
