--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -11,13 +11,13 @@
 class Fleet:
     """The upstreams as one instance uses them."""
 
-    __slots__ = ('_loop', '_pools', 'beliefs', 'parts', 'table', 'typical')
+    __slots__ = ('_loop', '_pools', 'beliefs', 'instance_count', 'table', 'typical')
 
     def __init__(self, loop):
         self._loop = loop
         self._pools = {}
         self.beliefs = upstreams.Beliefs()
-        self.parts = 1.0
+        self.instance_count = 1.0
         self.table = None
         self.typical = upstreams.Typical()
 
@@ -36,7 +36,7 @@
     def _limit(self, service):
         known = self.table.services.get(service) if self.table else None
         most = known.max_connections if known else DEFAULT_CONNECTIONS
-        return max(2, int(most * CONNECTION_SHARE / self.parts))
+        return max(2, int(most * CONNECTION_SHARE / self.instance_count))
 
     def sweep(self, now):
         """Closes idle connections and those to upstreams that are gone."""
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -114,7 +114,7 @@
 
     def set_instance_count(self, parts):
         """Takes the number of parts like its own that limits are cut in."""
-        self.fleet.parts = parts
+        self.fleet.instance_count = parts
         self.placer.parts = parts
 
     def begin_role_change(self, upstream_id, span_s):
@@ -131,7 +131,7 @@
 
     def spend_retry(self, service):
         """Takes a retry out of the shared budget."""
-        return self.budget.spend(service, self.fleet.parts, self.loop.time())
+        return self.budget.spend(service, self.fleet.instance_count, self.loop.time())
 
     def log_placement(self, request_id, placement):
         """Logs where a generation goes, and why."""
