--- a/dandelionwinch/attempts/_verdict.py
+++ b/dandelionwinch/attempts/_verdict.py
@@ -31,7 +31,7 @@
     """
     if fate in (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_EXECUTED):
         return True
-    return repeat is not routes.Repeat.ONCE
+    return repeat is not routes.RetryPolicy.ONCE
 
 
 def final_status(fates, timed_out):
--- a/dandelionwinch/platform/_catalogue.py
+++ b/dandelionwinch/platform/_catalogue.py
@@ -115,11 +115,11 @@
     place = f'{CONFIG_KEY}.routes.{item.get("name")}'
     kind = _field(item, 'kind', str, place)
     streaming = kind == 'streaming'
-    repeat = routes.Repeat.ONCE
+    repeat = routes.RetryPolicy.ONCE
     if kind == 'idempotent':
-        repeat = routes.Repeat.IDEMPOTENT
+        repeat = routes.RetryPolicy.IDEMPOTENT
     elif streaming and item.get('resumable') is True:
-        repeat = routes.Repeat.RESUMABLE
+        repeat = routes.RetryPolicy.RESUMABLE
     return routes.Route(
         _field(item, 'name', str, place),
         _field(item, 'host', str, place),
--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -112,7 +112,7 @@
     kind = 'idempotent'
     if streaming:
         kind = 'streaming'
-    elif repeat is routes.Repeat.ONCE:
+    elif repeat is routes.RetryPolicy.ONCE:
         kind = 'non_idempotent'
     return route(
         name=name,
@@ -121,7 +121,7 @@
         timeoutMs=int(timeout_s * 1e3),
         targetLatencyMs=200,
         maxAttempts=attempts,
-        resumable=repeat is routes.Repeat.RESUMABLE,
+        resumable=repeat is routes.RetryPolicy.RESUMABLE,
         targetGapMs=500,
     )
 
--- a/dandelionwinch/routes/__init__.py
+++ b/dandelionwinch/routes/__init__.py
@@ -2,7 +2,7 @@
 
 from dandelionwinch.routes._table import Engine
 from dandelionwinch.routes._table import Limits
-from dandelionwinch.routes._table import Repeat
+from dandelionwinch.routes._table import RetryPolicy
 from dandelionwinch.routes._table import Route
 from dandelionwinch.routes._table import RouteTable
 from dandelionwinch.routes._table import Service
@@ -11,7 +11,7 @@
 __all__ = [
     'Engine',
     'Limits',
-    'Repeat',
+    'RetryPolicy',
     'Route',
     'RouteTable',
     'Service',
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -7,7 +7,7 @@
 from dandelionwinch import utils
 
 
-class Repeat(enum.Enum):
+class RetryPolicy(enum.Enum):
     """How often one request of a route may be run."""
 
     IDEMPOTENT = 'idempotent'
@@ -40,7 +40,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RetryPolicy
     streaming: bool
     timeout_s: float
     objective_s: float
--- a/dandelionwinch/soak/_run.py
+++ b/dandelionwinch/soak/_run.py
@@ -210,10 +210,10 @@
 
     def _write_config(self):
         rows = [
-            samples.route_of('once', routes.Repeat.ONCE),
-            samples.route_of('safe', routes.Repeat.IDEMPOTENT, attempts=2),
+            samples.route_of('once', routes.RetryPolicy.ONCE),
+            samples.route_of('safe', routes.RetryPolicy.IDEMPOTENT, attempts=2),
             samples.route_of(
-                'resume', routes.Repeat.RESUMABLE, streaming=True, attempts=2
+                'resume', routes.RetryPolicy.RESUMABLE, streaming=True, attempts=2
             ),
         ]
         value = samples.config(self._version, rows, [samples.service()])
