--- a/dandelionwinch/attempts/_verdict.py
+++ b/dandelionwinch/attempts/_verdict.py
@@ -22,7 +22,7 @@
     TIMEOUT = 504
 
 
-def may_retry(repeat, fate):
+def may_retry(retry_policy, fate):
     """Tells whether a request may be sent once more.
 
     Args:
@@ -31,7 +31,7 @@
     """
     if fate in (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_EXECUTED):
         return True
-    return repeat is not routes.RetryPolicy.ONCE
+    return retry_policy is not routes.RetryPolicy.ONCE
 
 
 def final_status(fates, timed_out):
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -129,7 +129,7 @@
         raise NotImplementedError
 
     def _another(self, exc):
-        if not attempts.may_retry(self._route.repeat, exc.fate):
+        if not attempts.may_retry(self._route.retry_policy, exc.fate):
             raise exc
         if exc.fate is attempts.AttemptOutcome.NOT_SENT:
             if len(self._fates) >= MAX_CONNECT_TRIES:
@@ -185,7 +185,7 @@
         now = self._loop.time()
         again = (
             answer.head.status >= SERVER_ERROR
-            and self._route.repeat is not routes.RetryPolicy.ONCE
+            and self._route.retry_policy is not routes.RetryPolicy.ONCE
         )
         way_s = self._gateway.distances.round_trip_s(belief.entry.data_centre)
         taken_s = now - began - way_s
@@ -212,7 +212,7 @@
         left_s = self._left_s()
         route = self._route
         last = len(self._tried) >= route.max_attempts
-        if route.repeat is routes.RetryPolicy.ONCE or last:
+        if route.retry_policy is routes.RetryPolicy.ONCE or last:
             return left_s
         silence_s = FIRST_SILENCE_FACTOR * route.objective_s
         return min(left_s, max(LEAST_SILENCE_S, silence_s))
@@ -250,7 +250,7 @@
     async def _connect(self, belief):
         """Takes a connection, and a retry out of the budget if need be."""
         fresh_s = 0.0
-        if self._route.repeat is routes.RetryPolicy.ONCE:
+        if self._route.retry_policy is routes.RetryPolicy.ONCE:
             fresh_s = FRESH_ONCE_S
         pool, conn = await self._take(belief, fresh_s)
         if self._attempt and not self._gateway.spend_retry(self._service):
--- a/dandelionwinch/platform/_catalogue.py
+++ b/dandelionwinch/platform/_catalogue.py
@@ -115,16 +115,16 @@
     place = f'{CONFIG_KEY}.routes.{item.get("name")}'
     kind = _field(item, 'kind', str, place)
     streaming = kind == 'streaming'
-    repeat = routes.RetryPolicy.ONCE
+    retry_policy = routes.RetryPolicy.ONCE
     if kind == 'idempotent':
-        repeat = routes.RetryPolicy.IDEMPOTENT
+        retry_policy = routes.RetryPolicy.IDEMPOTENT
     elif streaming and item.get('resumable') is True:
-        repeat = routes.RetryPolicy.RESUMABLE
+        retry_policy = routes.RetryPolicy.RESUMABLE
     return routes.Route(
         _field(item, 'name', str, place),
         _field(item, 'host', str, place),
         _field(item, 'prefix', str, place),
-        repeat,
+        retry_policy,
         streaming,
         _field(item, 'timeoutMs', (int, float), place) / 1e3,
         _field(item, 'targetLatencyMs', (int, float), place) / 1e3,
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -40,7 +40,7 @@
     name: str
     host: str
     prefix: str
-    repeat: RetryPolicy
+    retry_policy: RetryPolicy
     streaming: bool
     timeout_s: float
     objective_s: float
