--- a/dandelionwinch/platform/_catalogue.py
+++ b/dandelionwinch/platform/_catalogue.py
@@ -139,9 +139,9 @@
 def _shares(item, place):
     split = item.get('trafficSplit')
     if not split:
-        return (routes.Share(_field(item, 'service', str, place), 1.0),)
+        return (routes.TrafficShare(_field(item, 'service', str, place), 1.0),)
     return tuple(
-        routes.Share(
+        routes.TrafficShare(
             _field(share, 'service', str, place),
             float(_field(share, 'weight', (int, float), place)),
         )
--- a/dandelionwinch/routes/__init__.py
+++ b/dandelionwinch/routes/__init__.py
@@ -6,7 +6,7 @@
 from dandelionwinch.routes._table import Route
 from dandelionwinch.routes._table import RouteTable
 from dandelionwinch.routes._table import Service
-from dandelionwinch.routes._table import Share
+from dandelionwinch.routes._table import TrafficShare
 
 __all__ = [
     'Engine',
@@ -15,5 +15,5 @@
     'Route',
     'RouteTable',
     'Service',
-    'Share',
+    'TrafficShare',
 ]
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Share:
+class TrafficShare:
     """A service and its relative share of a route's requests."""
 
     service: str
@@ -46,7 +46,7 @@
     objective_s: float
     rank: int
     max_attempts: int
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     sticky: bool = False
     gap_s: float = 0.0
 
