--- a/dandelionwinch/platform/_catalogue.py
+++ b/dandelionwinch/platform/_catalogue.py
@@ -161,7 +161,7 @@
 
 
 def _engine(item, place):
-    return routes.Engine(
+    return routes.EngineSpec(
         _field(item, 'slots', int, place),
         _field(item, 'kvTokens', int, place),
         _field(item, 'kvTokenBytes', (int, float), place),
--- a/dandelionwinch/routes/__init__.py
+++ b/dandelionwinch/routes/__init__.py
@@ -1,6 +1,6 @@
 """Routes of callers' requests to services, by revision of a configuration."""
 
-from dandelionwinch.routes._table import Engine
+from dandelionwinch.routes._table import EngineSpec
 from dandelionwinch.routes._table import Limits
 from dandelionwinch.routes._table import RetryPolicy
 from dandelionwinch.routes._table import Route
@@ -9,7 +9,7 @@
 from dandelionwinch.routes._table import TrafficShare
 
 __all__ = [
-    'Engine',
+    'EngineSpec',
     'Limits',
     'RetryPolicy',
     'Route',
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen
-class Engine:
+class EngineSpec:
     """What a service of model engines says of each of its upstreams.
 
     Attributes:
@@ -89,7 +89,7 @@
     name: str
     max_connections: int
     health_path: str = '/'
-    engine: Engine | None = None
+    engine: EngineSpec | None = None
 
 
 @attrs.frozen
