--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -31,7 +31,7 @@
         prefix: Beginning of the paths, with a slash at both ends.
         timeout_s: Longest time that a caller is kept waiting.
         objective_s: Latency objective of an answer or its first event.
-        rank: Priority of the route, 0 is the highest.
+        priority: Priority of the route, 0 is the highest.
         max_attempts: Upstreams that one request may be sent to.
         sticky: Whether requests carry a prompt that upstreams cache.
         gap_s: Longest pause between events, 0 if none is stated.
@@ -44,7 +44,7 @@
     streaming: bool
     timeout_s: float
     objective_s: float
-    rank: int
+    priority: int
     max_attempts: int
     shares: tuple[TrafficShare, ...]
     sticky: bool = False
