--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -158,7 +158,7 @@
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
                     self._gateway.placer.paused(
-                        placement, now - last_at, self._route.gap_s, now
+                        placement, now - last_at, self._route.event_gap_s, now
                     )
                 last_at = now
                 await self._deliver(head, event)
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -48,7 +48,7 @@
     max_attempts: int
     shares: tuple[TrafficShare, ...]
     sticky: bool = False
-    gap_s: float = 0.0
+    event_gap_s: float = 0.0
 
     def service_for(self, request_id):
         """Returns the service of a request, by weight and id."""
