--- a/dandelionwinch/addresses/__init__.py
+++ b/dandelionwinch/addresses/__init__.py
@@ -3,6 +3,6 @@
 from dandelionwinch.addresses._answers import Answer
 from dandelionwinch.addresses._answers import answer
 from dandelionwinch.addresses._nearest import nearest
-from dandelionwinch.addresses._nearest import Presence
+from dandelionwinch.addresses._nearest import InstanceEntry
 
-__all__ = ['Answer', 'Presence', 'answer', 'nearest']
+__all__ = ['Answer', 'InstanceEntry', 'answer', 'nearest']
--- a/dandelionwinch/addresses/_nearest.py
+++ b/dandelionwinch/addresses/_nearest.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Presence:
+class InstanceEntry:
     """An instance that takes callers' requests.
 
     Attributes:
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -42,7 +42,7 @@
             rng,
             self._configured,
         )
-        self._presence = addresses.Presence(
+        self._presence = addresses.InstanceEntry(
             cfg.instance,
             cfg.callers,
             cfg.data_centre,
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -22,7 +22,7 @@
     """
     try:
         data = json.loads(value)
-        presence = addresses.Presence(**data)
+        presence = addresses.InstanceEntry(**data)
     except (ValueError, TypeError) as exc:
         raise _store.EntryInvalid(f"an instance's entry: {exc}") from exc
     for name, value in data.items():
