--- a/dandelionwinch/addresses/_answers.py
+++ b/dandelionwinch/addresses/_answers.py
@@ -24,7 +24,7 @@
     valid_s: float
 
 
-def answer(usable, data_centre, team, valid_s):
+def assign(usable, data_centre, team, valid_s):
     """Chooses an instance for a team's client.
 
     A team keeps its instance while the membership stays, so that its
--- a/dandelionwinch/bench/_capacity.py
+++ b/dandelionwinch/bench/_capacity.py
@@ -208,7 +208,7 @@
     rounds = 200
     started = time.process_time()
     for number in range(rounds):
-        addresses.answer(known, 'data_centre-1', f'team-{number}', 2.0)
+        addresses.assign(known, 'data_centre-1', f'team-{number}', 2.0)
     seconds = (time.process_time() - started) / rounds
     rate = REQUESTS_PER_S * ADDRESS_ANSWERS_PER_REQUEST / NODES
     return 100 * rate * seconds
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -252,7 +252,7 @@
         """Answers which instance a client should use."""
         now = self.now()
         usable = self.members.usable(now)
-        found = addresses.answer(
+        found = addresses.assign(
             usable, data_centre, team, self.cfg.timing.answer_valid_s
         )
         if found is None:
