--- a/dandelionwinch/addresses/_answers.py
+++ b/dandelionwinch/addresses/_answers.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Answer:
+class Assignment:
     """An address answer.
 
     Attributes:
@@ -48,7 +48,7 @@
     ranked += _ranked(far, team)
     first = ranked[0]
     second = ranked[1].member.client_address if len(ranked) > 1 else ''
-    return Answer(first.member.client_address, first.name, second, valid_s)
+    return Assignment(first.member.client_address, first.name, second, valid_s)
 
 
 def _ranked(candidates, team):
