--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -121,7 +121,7 @@
             core.event('instance.seen', name)
         core.loads.merge(digest.loads, now)
         uses = {item.team: item.jobs_per_s for item in digest.uses}
-        core.work.admission.peer_uses(digest.sender.name, uses, now)
+        core.work.admission.record_peer_rates(digest.sender.name, uses, now)
         self.demands[digest.sender.name] = (now, _rates_of(digest))
         sent = {item.pool: item.sent for item in digest.demands}
         self._sent[digest.sender.name] = (now, sent)
--- a/dandelionwinch/limits/_admission.py
+++ b/dandelionwinch/limits/_admission.py
@@ -38,7 +38,7 @@
         self._peers = {}
         self.jobs = 0
 
-    def peer_uses(self, peer, uses, now):
+    def record_peer_rates(self, peer, uses, now):
         """Takes in how much of each team's limit a peer used.
 
         Args:
