--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -90,7 +90,7 @@
         digest.loads.extend(
             core.loads.known(now, None if near else LOADS_ACROSS_DATA_CENTRES)
         )
-        for team, rate in core.work.admission.uses(now).items():
+        for team, rate in core.work.admission.rates_by_team(now).items():
             digest.uses.add(team=team, jobs_per_s=rate)
         sent = core.work.placer.own_rates(now)
         for pool, rates in core.work.demands(now).items():
--- a/dandelionwinch/limits/_admission.py
+++ b/dandelionwinch/limits/_admission.py
@@ -48,7 +48,7 @@
         """
         self._peers[peer] = (now, uses)
 
-    def uses(self, now):
+    def rates_by_team(self, now):
         """Returns this instance's jobs per second by team."""
         rates = {}
         for team, bucket in self._buckets.items():
