--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -257,7 +257,7 @@
         )
         return allowed
 
-    def finish(self, message):
+    def release(self, message):
         """Notes how a job ended and books what it earned."""
         core = self._core
         record = self.book.end(
@@ -267,7 +267,7 @@
             return
         record.tokens = message.tokens
         team = self._team(record.team)
-        self.admission.finish(team.name)
+        self.admission.release(team.name)
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
--- a/dandelionwinch/limits/_admission.py
+++ b/dandelionwinch/limits/_admission.py
@@ -137,7 +137,7 @@
         """Returns the names of the teams that have jobs here."""
         return [name for name, b in self._buckets.items() if b.jobs]
 
-    def finish(self, team_name):
+    def release(self, team_name):
         """Gives a job's place back."""
         bucket = self._buckets.get(team_name)
         if bucket is not None and bucket.jobs > 0:
