--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -271,7 +271,7 @@
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
-            self._budget(record.target).succeeded()
+            self._budget(record.target).record_success()
             core.loads.rested(record.upstream)
             core.metrics.tokens.inc(message.tokens)
             core.earnings.book(record, message.tokens)
--- a/dandelionwinch/limits/_budget.py
+++ b/dandelionwinch/limits/_budget.py
@@ -13,7 +13,7 @@
         self._share = share
         self._credit = FIRST_CREDIT
 
-    def succeeded(self):
+    def record_success(self):
         """Notes a job that ended well."""
         self._credit = min(BUDGET_CAP, self._credit + self._share)
 
