--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -326,5 +326,5 @@
         answer.status,
         content_type=answer.content_type or 'application/octet-stream',
         headers={**headers, 'Content-Length': str(len(body))},
-        chunks=delivery.Delivery(chunks(), finish, lambda: 1),
+        chunks=delivery.ResponseStream(chunks(), finish, lambda: 1),
     )
--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -3,7 +3,7 @@
 from dandelionwinch import errors
 
 
-class Delivery:
+class ResponseStream:
     """Chunks on their way to a client, with exactly one ending.
 
     Iterating to the end means that every chunk was written to the
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -65,7 +65,7 @@
         return listeners.Response(
             content_type=EVENT_STREAM,
             headers={'Cache-Control': 'no-store'},
-            chunks=delivery.Delivery(chunks, finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks, finish, answer.tokens),
         )
 
     @staticmethod
@@ -77,7 +77,7 @@
 
         return listeners.Response(
             headers={'Content-Length': str(len(body))},
-            chunks=delivery.Delivery(chunks(), finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks(), finish, answer.tokens),
         )
 
 
