--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -61,7 +61,7 @@
         try:
             answer, headers = self._call(request, name, path)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -32,7 +32,7 @@
             self._end('done', '', self._tokens())
             raise
         except errors.DandelionwinchError as exc:
-            self._end(state_of(exc), exc.code, 0)
+            self._end(final_state(exc), exc.code, 0)
             raise StopIteration from None
 
     def close(self):
@@ -46,7 +46,7 @@
             finish(state, code, tokens)
 
 
-def state_of(exc):
+def final_state(exc):
     """Returns the state of a job that ended with an error."""
     unknown = exc.truth is errors.Truth.UNKNOWN
     return 'unknown' if unknown else 'refused'
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -51,7 +51,7 @@
                 return self._streamed(request, answer, finish)
             return self._whole(request, answer, finish)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
