--- a/dandelionwinch/eventlog.py
+++ b/dandelionwinch/eventlog.py
@@ -5,7 +5,7 @@
 import os
 import time
 
-FLUSH_S = 0.25
+FLUSH_INTERVAL_S = 0.25
 MAX_LINES_PER_S = 400
 MAX_PENDING_BYTES = 1 << 18
 
