--- a/dandelionwinch/attempts/__init__.py
+++ b/dandelionwinch/attempts/__init__.py
@@ -2,8 +2,14 @@
 
 from dandelionwinch.attempts._budget import SharedRetryBudget
 from dandelionwinch.attempts._verdict import AttemptOutcome
-from dandelionwinch.attempts._verdict import FinalStatus
 from dandelionwinch.attempts._verdict import final_status
+from dandelionwinch.attempts._verdict import FinalStatus
 from dandelionwinch.attempts._verdict import may_retry
 
-__all__ = ['AttemptOutcome', 'FinalStatus', 'SharedRetryBudget', 'final_status', 'may_retry']
+__all__ = [
+    'AttemptOutcome',
+    'FinalStatus',
+    'SharedRetryBudget',
+    'final_status',
+    'may_retry',
+]
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -112,7 +112,9 @@
 
     def _flush(self):
         self.log.flush()
-        self._flusher = self._loop.call_later(eventlog.FLUSH_INTERVAL_S, self._flush)
+        self._flusher = self._loop.call_later(
+            eventlog.FLUSH_INTERVAL_S, self._flush
+        )
 
     def _configured(self, table):
         self._callers.limits = table.limits
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -251,7 +251,9 @@
 
     def _settle(self, now):
         """Does what is due after each answer of the store."""
-        self._gateway.set_instance_count(self.members.parts(self._capacity, now))
+        self._gateway.set_instance_count(
+            self.members.parts(self._capacity, now)
+        )
         for name in self._absence.due(now):
             self._gone(name, now, held=True)
 
--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -7,26 +7,26 @@
 from dandelionwinch.gateway._connection import read_response
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
-from dandelionwinch.gateway._inquiry import Dialect
+from dandelionwinch.gateway._inquiry import AttemptParams
 from dandelionwinch.gateway._inquiry import CallerRequest
+from dandelionwinch.gateway._inquiry import Dialect
 from dandelionwinch.gateway._inquiry import ReplyHeaders
-from dandelionwinch.gateway._inquiry import AttemptParams
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
 from dandelionwinch.gateway._server import Server
 
 __all__ = [
+    'AttemptParams',
     'BadMessage',
+    'CallerRequest',
     'ConnectionLost',
     'Dialect',
     'Fleet',
     'Gateway',
     'Head',
-    'CallerRequest',
     'NotConnected',
     'Pool',
     'ReplyHeaders',
-    'AttemptParams',
     'Server',
     'read_response',
     'request_bytes',
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -76,9 +76,7 @@
         """Sends the request."""
         req = self._inquiry
         headers = self._dialect.upstream_headers(req, params)
-        data = _codec.request_bytes(
-            req.method, req.target, headers, req.body
-        )
+        data = _codec.request_bytes(req.method, req.target, headers, req.body)
         self._conn.send(data)
 
     async def head(self, patience_s):
@@ -110,7 +108,9 @@
         try:
             return await self._conn.next_item(min(timeout_s, self._left_s()))
         except _connection.ConnectionLost as exc:
-            raise AttemptFailed(attempts.AttemptOutcome.UNKNOWN, str(exc)) from exc
+            raise AttemptFailed(
+                attempts.AttemptOutcome.UNKNOWN, str(exc)
+            ) from exc
 
     def check_executed(self, answer):
         """Raises AttemptFailed unless the upstream vouches for an answer."""
@@ -118,11 +118,13 @@
         status = answer.head.status
         if reply.not_executed or status == MISDIRECTED:
             raise AttemptFailed(
-                attempts.AttemptOutcome.NOT_EXECUTED, f'status {status}, not executed'
+                attempts.AttemptOutcome.NOT_EXECUTED,
+                f'status {status}, not executed',
             )
         if not reply.signed:
             raise AttemptFailed(
-                attempts.AttemptOutcome.UNKNOWN, f'status {status} without a signature'
+                attempts.AttemptOutcome.UNKNOWN,
+                f'status {status} without a signature',
             )
 
     def _left_s(self):
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -202,7 +202,9 @@
 
     def _nowhere(self):
         return _conversation.NoFurtherAttempt(
-            self._fates[-1] if self._fates else attempts.AttemptOutcome.NOT_SENT,
+            self._fates[-1]
+            if self._fates
+            else attempts.AttemptOutcome.NOT_SENT,
             f'service "{self._service}" has no upstream left to try',
             relayed=self._relayed,
         )
@@ -245,7 +247,9 @@
 
     def _not_sent(self, belief, reason):
         self._full.add(belief.entry.id)
-        return _conversation.AttemptFailed(attempts.AttemptOutcome.NOT_SENT, reason)
+        return _conversation.AttemptFailed(
+            attempts.AttemptOutcome.NOT_SENT, reason
+        )
 
     async def _connect(self, belief):
         """Takes a connection, and a retry out of the budget if need be."""
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -11,7 +11,14 @@
 class Fleet:
     """The upstreams as one instance uses them."""
 
-    __slots__ = ('_loop', '_pools', 'beliefs', 'instance_count', 'table', 'typical')
+    __slots__ = (
+        '_loop',
+        '_pools',
+        'beliefs',
+        'instance_count',
+        'table',
+        'typical',
+    )
 
     def __init__(self, loop):
         self._loop = loop
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -93,9 +93,7 @@
         try:
             await exchange.run()
         except BaseException as exc:
-            self.log.event(
-                'request.left', request=req.id, reason=repr(exc)
-            )
+            self.log.event('request.left', request=req.id, reason=repr(exc))
             raise
 
     def _refuse(self, caller, incoming, status, reason, headers=()):
@@ -131,7 +129,9 @@
 
     def spend_retry(self, service):
         """Takes a retry out of the shared budget."""
-        return self.budget.spend(service, self.fleet.instance_count, self.loop.time())
+        return self.budget.spend(
+            service, self.fleet.instance_count, self.loop.time()
+        )
 
     def log_placement(self, request_id, placement):
         """Logs where a generation goes, and why."""
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -209,6 +209,7 @@
         talk.check_executed(answer)
         if self._streaming:
             raise _conversation.AttemptFailed(
-                attempts.AttemptOutcome.FAILED, f'status {head.status} on resumption'
+                attempts.AttemptOutcome.FAILED,
+                f'status {head.status} on resumption',
             )
         self._accept(belief, answer, self._loop.time())
--- a/dandelionwinch/soak/_run.py
+++ b/dandelionwinch/soak/_run.py
@@ -211,9 +211,14 @@
     def _write_config(self):
         rows = [
             samples.route_of('once', routes.RetryPolicy.ONCE),
-            samples.route_of('safe', routes.RetryPolicy.IDEMPOTENT, attempts=2),
             samples.route_of(
-                'resume', routes.RetryPolicy.RESUMABLE, streaming=True, attempts=2
+                'safe', routes.RetryPolicy.IDEMPOTENT, attempts=2
+            ),
+            samples.route_of(
+                'resume',
+                routes.RetryPolicy.RESUMABLE,
+                streaming=True,
+                attempts=2,
             ),
         ]
         value = samples.config(self._version, rows, [samples.service()])
