--- a/dandelionwinch/attempts/_verdict.py
+++ b/dandelionwinch/attempts/_verdict.py
@@ -5,7 +5,7 @@
 from dandelionwinch import routes
 
 
-class Fate(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """What is known of an attempt that brought no whole answer."""
 
     NOT_SENT = 'not sent'
@@ -14,7 +14,7 @@
     UNKNOWN = 'unknown'
 
 
-class Final(enum.IntEnum):
+class FinalStatus(enum.IntEnum):
     """Status of a final answer of our own."""
 
     BAD_GATEWAY = 502
@@ -22,26 +22,26 @@
     TIMEOUT = 504
 
 
-def may_repeat(repeat, fate):
+def may_retry(retry_policy, fate):
     """Tells whether a request may be sent once more.
 
     Args:
         repeat: Repeat of the route.
         fate: Fate of the last attempt.
     """
-    if fate in (Fate.NOT_SENT, Fate.NOT_EXECUTED):
+    if fate in (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_EXECUTED):
         return True
-    return repeat is not routes.Repeat.ONCE
+    return retry_policy is not routes.RetryPolicy.ONCE
 
 
-def final_of(fates, timed_out):
+def final_status(fates, timed_out):
     """Returns the status that is true of all attempts together.
 
     Args:
         fates: Fate of each attempt, in any order; may be empty.
         timed_out: Whether the time for the request is over.
     """
-    not_run = (Fate.NOT_SENT, Fate.NOT_EXECUTED)
+    not_run = (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_EXECUTED)
     if all(fate in not_run for fate in fates):
-        return Final.NOT_RUN
-    return Final.TIMEOUT if timed_out else Final.BAD_GATEWAY
+        return FinalStatus.NOT_RUN
+    return FinalStatus.TIMEOUT if timed_out else FinalStatus.BAD_GATEWAY
--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -61,7 +61,7 @@
         try:
             answer, headers = self._call(request, name, path)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
@@ -326,5 +326,5 @@
         answer.status,
         content_type=answer.content_type or 'application/octet-stream',
         headers={**headers, 'Content-Length': str(len(body))},
-        chunks=delivery.Delivery(chunks(), finish, lambda: 1),
+        chunks=delivery.ResponseStream(chunks(), finish, lambda: 1),
     )
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -42,7 +42,7 @@
             rng,
             self._configured,
         )
-        self._presence = addresses.Presence(
+        self._presence = addresses.InstanceEntry(
             cfg.instance,
             cfg.callers,
             cfg.data_centre,
@@ -72,7 +72,7 @@
             loop,
             self._gateway.handle,
             routes.Limits(),
-            self._gateway.refused_early,
+            self._gateway.log_early_refusal,
         )
         if cfg.callers:
             self._servers['callers'] = (cfg.callers, self._callers)
@@ -112,7 +112,9 @@
 
     def _flush(self):
         self.log.flush()
-        self._flusher = self._loop.call_later(eventlog.FLUSH_S, self._flush)
+        self._flusher = self._loop.call_later(
+            eventlog.FLUSH_INTERVAL_S, self._flush
+        )
 
     def _configured(self, table):
         self._callers.limits = table.limits
--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -56,13 +56,13 @@
             request = gateway.request_bytes(
                 *self._dialect.order(change, self._name, token, accepted)
             )
-            conn = await pool.take(ORDER_TIMEOUT_S)
+            conn = await pool.acquire(ORDER_TIMEOUT_S)
             try:
                 # Nothing is awaited between this check and the bytes.
                 if not may_order():
                     return Sent(0, 'the lease is not certain')
-                conn.begin(request)
-                head = await conn.next(ORDER_TIMEOUT_S)
+                conn.send(request)
+                head = await conn.next_item(ORDER_TIMEOUT_S)
             finally:
                 pool.discard(conn)
         except (gateway.NotConnected, gateway.ConnectionLost) as exc:
@@ -74,10 +74,10 @@
         request = gateway.request_bytes(
             *self._dialect.report(upstream_id), b''
         )
-        conn = await pool.take(ORDER_TIMEOUT_S)
+        conn = await pool.acquire(ORDER_TIMEOUT_S)
         try:
-            conn.begin(request)
-            _head, body = await gateway.read_whole(conn, ORDER_TIMEOUT_S)
+            conn.send(request)
+            _head, body = await gateway.read_response(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
         return self._dialect.accepted_orders(body)
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -191,7 +191,7 @@
         upstream = self._gateway.fleet.registry.get(name)
         if upstream is None or upstream.entry.role.value == role:
             return
-        self._gateway.changing(name, _steward.CHANGE_S)
+        self._gateway.begin_role_change(name, _steward.CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
@@ -225,7 +225,7 @@
         if registry.apply(entry):
             self._gateway.placer.forget(name)
         if before is not None and before.role is not entry.role:
-            self._gateway.changed(name)
+            self._gateway.end_role_change(name)
         if before is None or (before.ready, before.role, before.born) != (
             entry.ready,
             entry.role,
--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -90,7 +90,7 @@
         digest.loads.extend(
             core.loads.known(now, None if near else LOADS_ACROSS_DATA_CENTRES)
         )
-        for team, rate in core.work.admission.uses(now).items():
+        for team, rate in core.work.admission.rates_by_team(now).items():
             digest.uses.add(team=team, jobs_per_s=rate)
         sent = core.work.placer.own_rates(now)
         for pool, rates in core.work.demands(now).items():
@@ -121,7 +121,7 @@
             core.event('instance.seen', name)
         core.loads.merge(digest.loads, now)
         uses = {item.team: item.jobs_per_s for item in digest.uses}
-        core.work.admission.peer_uses(digest.sender.name, uses, now)
+        core.work.admission.record_peer_rates(digest.sender.name, uses, now)
         self.demands[digest.sender.name] = (now, _rates_of(digest))
         sent = {item.pool: item.sent for item in digest.demands}
         self._sent[digest.sender.name] = (now, sent)
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -259,7 +259,7 @@
         )
         return allowed
 
-    def finish(self, message):
+    def release(self, message):
         """Notes how a job ended and books what it earned."""
         core = self._core
         record = self.book.end(
@@ -269,11 +269,11 @@
             return
         record.tokens = message.tokens
         team = self._team(record.team)
-        self.admission.finish(team.name)
+        self.admission.release(team.name)
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
-            self._budget(record.target).succeeded()
+            self._budget(record.target).record_success()
             core.loads.rested(record.upstream)
             core.metrics.tokens.inc(message.tokens)
             core.earnings.book(record, message.tokens)
--- a/dandelionwinch/gateway/_call.py
+++ b/dandelionwinch/gateway/_call.py
@@ -21,9 +21,9 @@
         )
         if upstream is None:
             raise self._nowhere()
-        sending = self._sending(upstream)
+        params = self._sending(upstream)
         pool, conn = await self._connect(upstream)
         began = self._loop.time()
         async with self._talk(upstream, pool, conn) as talk:
-            answer = await talk.ask(sending, self._patience_s())
+            answer = await talk.ask(params, self._patience_s())
         self._accept(upstream, answer, began)
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -41,16 +41,16 @@
 
     __slots__ = ('_conn', '_deadline', '_dialect', '_inquiry', '_loop')
 
-    def __init__(self, loop, conn, dialect, inquiry, deadline):
+    def __init__(self, loop, conn, dialect, req, deadline):
         self._loop = loop
         self._conn = conn
         self._dialect = dialect
-        self._inquiry = inquiry
+        self._inquiry = req
         self._deadline = deadline
 
-    async def ask(self, sending, patience_s):
+    async def ask(self, params, patience_s):
         """Sends the request and returns the whole Answer."""
-        self.send(sending)
+        self.send(params)
         head = await self.head(patience_s)
         answer = Answer(head, await self.body(patience_s))
         self.check_executed(answer)
@@ -69,17 +69,15 @@
             body += item.data
             if len(body) > MAX_BUFFERED_BYTES:
                 raise AttemptFailed(
-                    attempts.Fate.UNKNOWN, 'the answer is too large'
+                    attempts.AttemptOutcome.UNKNOWN, 'the answer is too large'
                 )
 
-    def send(self, sending):
+    def send(self, params):
         """Sends the request."""
-        inquiry = self._inquiry
-        headers = self._dialect.headers(inquiry, sending)
-        data = _codec.request_bytes(
-            inquiry.method, inquiry.target, headers, inquiry.body
-        )
-        self._conn.begin(data)
+        req = self._inquiry
+        headers = self._dialect.upstream_headers(req, params)
+        data = _codec.request_bytes(req.method, req.target, headers, req.body)
+        self._conn.send(data)
 
     async def head(self, patience_s):
         """Returns the head that answers this request; skips others."""
@@ -89,7 +87,7 @@
             head = await self.item(left_s)
             while not isinstance(head, _codec.Head):
                 head = await self.item(left_s)
-            reply = self._dialect.reply(head)
+            reply = self._dialect.parse_reply(head)
             if reply.request_id == self._inquiry.id:
                 return head
             if not reply.request_id:
@@ -97,7 +95,7 @@
                 if reply.not_executed:
                     return head
                 raise AttemptFailed(
-                    attempts.Fate.UNKNOWN, 'an answer without an id'
+                    attempts.AttemptOutcome.UNKNOWN, 'an answer without an id'
                 )
             self._conn.spoil()
 
@@ -108,21 +106,25 @@
             AttemptFailed: If the answer broke off or time is over.
         """
         try:
-            return await self._conn.next(min(timeout_s, self._left_s()))
+            return await self._conn.next_item(min(timeout_s, self._left_s()))
         except _connection.ConnectionLost as exc:
-            raise AttemptFailed(attempts.Fate.UNKNOWN, str(exc)) from exc
+            raise AttemptFailed(
+                attempts.AttemptOutcome.UNKNOWN, str(exc)
+            ) from exc
 
     def check_executed(self, answer):
         """Raises AttemptFailed unless the upstream vouches for an answer."""
-        reply = self._dialect.reply(answer.head)
+        reply = self._dialect.parse_reply(answer.head)
         status = answer.head.status
         if reply.not_executed or status == MISDIRECTED:
             raise AttemptFailed(
-                attempts.Fate.NOT_EXECUTED, f'status {status}, not executed'
+                attempts.AttemptOutcome.NOT_EXECUTED,
+                f'status {status}, not executed',
             )
         if not reply.signed:
             raise AttemptFailed(
-                attempts.Fate.UNKNOWN, f'status {status} without a signature'
+                attempts.AttemptOutcome.UNKNOWN,
+                f'status {status} without a signature',
             )
 
     def _left_s(self):
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -51,7 +51,7 @@
                 return self._streamed(request, answer, finish)
             return self._whole(request, answer, finish)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
@@ -65,7 +65,7 @@
         return listeners.Response(
             content_type=EVENT_STREAM,
             headers={'Cache-Control': 'no-store'},
-            chunks=delivery.Delivery(chunks, finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks, finish, answer.tokens),
         )
 
     @staticmethod
@@ -77,7 +77,7 @@
 
         return listeners.Response(
             headers={'Content-Length': str(len(body))},
-            chunks=delivery.Delivery(chunks(), finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks(), finish, answer.tokens),
         )
 
 
