--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -183,7 +183,7 @@
         match message:
             case messages.Admit():
                 return self.work.admit(message)
-            case messages.DataCentre():
+            case messages.PlaceCompletion():
                 return self.work.place(message)
             case messages.PlaceService():
                 return self.work.place_service(message)
--- a/dandelionwinch/daemon/messages.py
+++ b/dandelionwinch/daemon/messages.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class DataCentre:
+class PlaceCompletion:
     """Asks where a completion runs.
 
     Attributes:
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -149,7 +149,7 @@
             return self._assembly.resume()
         self._generation += 1
         placed = self._core.ask(
-            messages.DataCentre(
+            messages.PlaceCompletion(
                 self._job_id, self.job, frozenset(self._exclude)
             )
         )
