--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -180,7 +180,7 @@
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
         apart = choice.prefill != decode.name
-        return messages.Placed(
+        return messages.Placement(
             upstream=decode.name,
             address=decode.address,
             prefill_upstream=prefill.name if apart else '',
--- a/dandelionwinch/daemon/messages.py
+++ b/dandelionwinch/daemon/messages.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class Placed:
+class Placement:
     """Reply: where a completion runs.
 
     Attributes:
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -85,7 +85,7 @@
 class _Target:
     """The upstream of the present attempt."""
 
-    placed: messages.Placed
+    placed: messages.Placement
     generation: int
     transfer: dict | None = None
 
