--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -223,7 +223,7 @@
         if record is not None:
             record.upstream = upstreams[0].name
             record.attempts += 1
-        return messages.ServicePlaces(service, upstreams)
+        return messages.ServicePlacement(service, upstreams)
 
     def upstream_failed(self, message):
         """Leaves an upstream alone for a while after a failure."""
--- a/dandelionwinch/daemon/messages.py
+++ b/dandelionwinch/daemon/messages.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class ServicePlaces:
+class ServicePlacement:
     """Reply: the service's rules and its upstreams, best first."""
 
     service: object
