--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -199,7 +199,7 @@
                 return self.claims.close_claim(close)
             case messages.FindAddress(data_centre=data_centre, team=team):
                 return self.find_address(data_centre, team)
-            case messages.Ask(text=text):
+            case messages.RunStatement(text=text):
                 return self.operators.ask(text)
             case messages.Health():
                 return self.unready_reason()
--- a/dandelionwinch/daemon/messages.py
+++ b/dandelionwinch/daemon/messages.py
@@ -113,7 +113,7 @@
 
 
 @attrs.frozen
-class Ask:
+class RunStatement:
     """A statement of the operators' language."""
 
     text: str
--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -141,4 +141,6 @@
             text = request.body.decode('utf-8')
         except UnicodeDecodeError as exc:
             raise errors.BadRequest('statement is not UTF-8') from exc
-        return listeners.json_response(self._core.ask(messages.Ask(text)))
+        return listeners.json_response(
+            self._core.ask(messages.RunStatement(text))
+        )
