--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -201,7 +201,7 @@
                 return self.find_address(data_centre, team)
             case messages.RunStatement(text=text):
                 return self.operators.ask(text)
-            case messages.Health():
+            case messages.CheckReadiness():
                 return self.unready_reason()
         raise TypeError(f'"{message!r}" is not a message of the core')
 
--- a/dandelionwinch/daemon/messages.py
+++ b/dandelionwinch/daemon/messages.py
@@ -120,5 +120,5 @@
 
 
 @attrs.frozen
-class Health:
+class CheckReadiness:
     """Asks whether the instance takes new work."""
--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -102,7 +102,7 @@
                     content_type='text/plain; version=0.0.4',
                 )
             case '/readyz':
-                reason = self._core.ask(messages.Health())
+                reason = self._core.ask(messages.CheckReadiness())
                 status = 503 if reason else 200
                 value = {'ready': not reason, 'reason': reason}
                 return listeners.json_response(value, status)
