--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -77,7 +77,7 @@
             cfg.instance.name, self.hybrid, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
-        self.work = _work.Work(self)
+        self.work = _work.Scheduler(self)
         self.deciders = _deciders.Deciders(self)
         self.beats = _beats.Beats(self)
         self.settings = _settings.SettingsTask(self)
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -15,7 +15,7 @@
 GIGABYTE = 1e9
 
 
-class Work:
+class Scheduler:
     """Owns the running jobs, the limits and the placer."""
 
     def __init__(self, core):
