--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -41,7 +41,7 @@
         for known in core.members.everyone():
             core.departures.restarted(known.name, known.member.incarnation)
         addresses = core.members.tick(now)
-        core.members.me.jobs = core.work.jobs()
+        core.members.me.jobs = core.scheduler.jobs()
         core.members.me.revision = core.documents.revision
         core.metrics.members.set(len(core.members.live(now)))
         core.metrics.ready.set(0 if core.unready_reason() else 1)
@@ -90,10 +90,10 @@
         digest.loads.extend(
             core.loads.known(now, None if near else LOADS_ACROSS_DATA_CENTRES)
         )
-        for team, rate in core.work.admission.uses(now).items():
+        for team, rate in core.scheduler.admission.uses(now).items():
             digest.uses.add(team=team, jobs_per_s=rate)
-        sent = core.work.placer.own_rates(now)
-        for pool, rates in core.work.demands(now).items():
+        sent = core.scheduler.placer.own_rates(now)
+        for pool, rates in core.scheduler.demands(now).items():
             digest.demands.add(
                 pool=pool,
                 short_prefill=rates[0][0],
@@ -121,7 +121,7 @@
             core.event('instance.seen', name)
         core.loads.merge(digest.loads, now)
         uses = {item.team: item.jobs_per_s for item in digest.uses}
-        core.work.admission.peer_uses(digest.sender.name, uses, now)
+        core.scheduler.admission.peer_uses(digest.sender.name, uses, now)
         self.demands[digest.sender.name] = (now, _rates_of(digest))
         sent = {item.pool: item.sent for item in digest.demands}
         self._sent[digest.sender.name] = (now, sent)
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -77,7 +77,7 @@
             cfg.instance.name, self.hybrid, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
-        self.work = _work.Scheduler(self)
+        self.scheduler = _work.Scheduler(self)
         self.deciders = _deciders.Deciders(self)
         self.beats = _beats.Beats(self)
         self.settings = _settings.SettingsTask(self)
@@ -182,17 +182,17 @@
     def _handle(self, message):
         match message:
             case messages.Admit():
-                return self.work.admit(message)
+                return self.scheduler.admit(message)
             case messages.PlaceCompletion():
-                return self.work.place(message)
+                return self.scheduler.place(message)
             case messages.PlaceService():
-                return self.work.place_service(message)
+                return self.scheduler.place_service(message)
             case messages.UpstreamFailed():
-                return self.work.upstream_failed(message)
+                return self.scheduler.upstream_failed(message)
             case messages.Retry():
-                return self.work.retry(message)
+                return self.scheduler.retry(message)
             case messages.Finish():
-                return self.work.finish(message)
+                return self.scheduler.finish(message)
             case messages.OpenClaim(opening=opening):
                 return self.claims.open(opening)
             case messages.CloseClaim(close=close):
@@ -298,10 +298,10 @@
         grace_s = timing.answer_valid_s + 2 * timing.beat_s
         time.sleep(grace_s)
         limit = time.monotonic() + timing.drain_limit_s
-        while self.work.jobs() and time.monotonic() < limit:
+        while self.scheduler.jobs() and time.monotonic() < limit:
             time.sleep(STOP_STEP_S)
         self.accepting = False
-        while self.work.jobs() and time.monotonic() < limit:
+        while self.scheduler.jobs() and time.monotonic() < limit:
             time.sleep(STOP_STEP_S)
 
     def close(self):
--- a/dandelionwinch/daemon/_deciders.py
+++ b/dandelionwinch/daemon/_deciders.py
@@ -26,7 +26,7 @@
         core = self._core
         decider = self._decider(query.model)
         if decider is None:
-            return core.work.choose(query)
+            return core.scheduler.choose(query)
         reply = await core.peers.call(
             decider.member.peer_address,
             'Place',
@@ -36,11 +36,11 @@
         if reply is None:
             self._resting_until[decider.name] = core.now() + REST_S
             core.event('decider.silent', decider.name)
-            return core.work.choose(query)
+            return core.scheduler.choose(query)
         choice = _wire.load_choice(reply)
         if isinstance(choice, placement.Refusal) or self._knows(choice):
             return choice
-        return core.work.choose(query)
+        return core.scheduler.choose(query)
 
     def _decider(self, model):
         """Returns the decider, None if that is this instance."""
@@ -59,7 +59,9 @@
         return near[name]
 
     def _request(self, query):
-        quarantined = self._core.work.beliefs.quarantined(self._core.now())
+        quarantined = self._core.scheduler.beliefs.quarantined(
+            self._core.now()
+        )
         excluded = sorted(query.exclude | set(quarantined))
         return peer_pb2.PlaceRequest(
             model=query.model,
@@ -83,4 +85,4 @@
             request.prefix,
             frozenset(request.exclude),
         )
-        return _wire.dump_choice(self._core.work.choose(query))
+        return _wire.dump_choice(self._core.scheduler.choose(query))
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_loads.py
@@ -108,7 +108,7 @@
         if self._core.catalog.get('upstream', message.upstream) is None:
             return
         self._seen[message.upstream] = _Seen(made_at, message)
-        beliefs = self._core.work.beliefs
+        beliefs = self._core.scheduler.beliefs
         if message.failed:
             beliefs.failed(message.upstream, self._core.now())
             return
@@ -154,7 +154,7 @@
                 core.event('upstream.held', request.upstream, request.order_id)
             self._holds[key] = core.now() + request.ttl_s
         self._mark_held(request.upstream)
-        jobs = core.work.book.on_upstream(request.upstream)
+        jobs = core.scheduler.book.on_upstream(request.upstream)
         return peer_pb2.HoldReply(jobs=jobs, instance=core.name)
 
     def is_held(self, upstream):
@@ -162,7 +162,7 @@
         return any(name == upstream for name, _order in self._holds)
 
     def _mark_held(self, upstream):
-        belief = self._core.work.beliefs.get(upstream)
+        belief = self._core.scheduler.beliefs.get(upstream)
         if belief is not None:
             belief.held = self.is_held(upstream)
 
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -161,7 +161,7 @@
         ]
 
     def _own_job(self, job_id):
-        record = self._core.work.book.get(job_id)
+        record = self._core.scheduler.book.get(job_id)
         if record is None:
             return []
         return [
@@ -189,7 +189,7 @@
         if upstream is None:
             raise errors.NotFound(f'upstream "{name}" does not exist')
         row = next(r for r in _tables.upstream_rows(core) if r['name'] == name)
-        belief = core.work.beliefs.get(name)
+        belief = core.scheduler.beliefs.get(name)
         if belief is not None:
             now = core.now()
             model = core.catalog.get('pool', upstream.pool).model
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -227,7 +227,7 @@
     async def _plan(self, authority, pool, upstreams):
         core = self._core
         now = core.now()
-        beliefs = [core.work.beliefs.get(r.name) for r in upstreams]
+        beliefs = [core.scheduler.beliefs.get(r.name) for r in upstreams]
         beliefs = [b for b in beliefs if b is not None and b.report]
         if len(beliefs) < len(upstreams) or len(beliefs) < 2:
             return
@@ -246,7 +246,7 @@
         await self._step(authority, upstream, wish)
 
     def _rates(self, pool, now):
-        own = self._core.work.demands(now).get(pool.name)
+        own = self._core.scheduler.demands(now).get(pool.name)
         found = [own] if own else []
         for at, demands in self._core.beats.demands.values():
             if now - at < DEMAND_LIFE_S and pool.name in demands:
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -55,7 +55,7 @@
 def _upstream_row(core, upstream, now):
     seen = core.loads.latest(upstream.name)
     load = seen.message if seen is not None else None
-    belief = core.work.beliefs.get(upstream.name)
+    belief = core.scheduler.beliefs.get(upstream.name)
     return {
         'name': upstream.name,
         'data_centre': core.catalog.data_centre_of(upstream),
@@ -134,7 +134,7 @@
             'seconds': round((record.ended or now) - record.started, 3),
             'instance': core.name,
         }
-        for record in core.work.book.all()
+        for record in core.scheduler.book.all()
     ]
 
 
