--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -111,7 +111,7 @@
         """Takes in a digest, fetching settings if it has newer ones."""
         core = self._core
         now = core.now()
-        stamp = timeline.Stamp(digest.physical_us, digest.logical)
+        stamp = timeline.Timestamp(digest.physical_us, digest.logical)
         core.hybrid.meet(stamp)
         before = {k.name for k in core.members.live(now)}
         unknown = core.members.merge(digest, now)
--- a/dandelionwinch/daemon/_wire.py
+++ b/dandelionwinch/daemon/_wire.py
@@ -98,7 +98,7 @@
 def load_event(message):
     """Turns a message into its event."""
     return timeline.Event(
-        timeline.Stamp(message.physical_us, message.logical),
+        timeline.Timestamp(message.physical_us, message.logical),
         message.instance,
         message.sequence,
         message.kind,
--- a/dandelionwinch/timeline/__init__.py
+++ b/dandelionwinch/timeline/__init__.py
@@ -1,10 +1,10 @@
 """A time line of events over all processes."""
 
 from dandelionwinch.timeline._clock import HybridClock
-from dandelionwinch.timeline._clock import Stamp
+from dandelionwinch.timeline._clock import Timestamp
 from dandelionwinch.timeline._merge import Event
 from dandelionwinch.timeline._merge import Gap
 from dandelionwinch.timeline._merge import merge
 from dandelionwinch.timeline._merge import Ring
 
-__all__ = ['Event', 'Gap', 'HybridClock', 'Ring', 'Stamp', 'merge']
+__all__ = ['Event', 'Gap', 'HybridClock', 'Ring', 'Timestamp', 'merge']
--- a/dandelionwinch/timeline/_clock.py
+++ b/dandelionwinch/timeline/_clock.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(order=True)
-class Stamp:
+class Timestamp:
     """A time that respects cause and effect between processes.
 
     Attributes:
@@ -23,7 +23,7 @@
 
     def __init__(self, wall_us):
         self._wall_us = wall_us
-        self._last = Stamp(0, 0)
+        self._last = Timestamp(0, 0)
 
     def now(self):
         """Returns the stamp of a local event."""
@@ -36,7 +36,7 @@
     def _advance(self, last):
         wall = self._wall_us()
         if wall > last.physical_us:
-            self._last = Stamp(wall, 0)
+            self._last = Timestamp(wall, 0)
         else:
-            self._last = Stamp(last.physical_us, last.logical + 1)
+            self._last = Timestamp(last.physical_us, last.logical + 1)
         return self._last
--- a/dandelionwinch/timeline/_merge.py
+++ b/dandelionwinch/timeline/_merge.py
@@ -18,7 +18,7 @@
         detail: A short text.
     """
 
-    stamp: _clock.Stamp
+    stamp: _clock.Timestamp
     instance: str
     sequence: int
     kind: str
@@ -30,7 +30,7 @@
 class Gap:
     """Events of an instance that its ring no longer holds."""
 
-    stamp: _clock.Stamp
+    stamp: _clock.Timestamp
     instance: str
     missing: int
 
