--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -102,17 +102,17 @@
                 decode=rates[1][1],
                 sent=sent.get(pool, 0.0),
             )
-        stamp = core.hybrid.now()
-        digest.physical_us = stamp.physical_us
-        digest.logical = stamp.logical
+        timestamp = core.hybrid.now()
+        digest.physical_us = timestamp.physical_us
+        digest.logical = timestamp.logical
         return digest
 
     async def take(self, peer, digest):
         """Takes in a digest, fetching settings if it has newer ones."""
         core = self._core
         now = core.now()
-        stamp = timeline.Timestamp(digest.physical_us, digest.logical)
-        core.hybrid.meet(stamp)
+        timestamp = timeline.Timestamp(digest.physical_us, digest.logical)
+        core.hybrid.meet(timestamp)
         before = {k.name for k in core.members.live(now)}
         unknown = core.members.merge(digest, now)
         self._unknown[peer] = unknown
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -171,7 +171,7 @@
 
 
 def _event_row(line):
-    row = {'time': line.stamp.physical_us / 1e6, 'instance': line.instance}
+    row = {'time': line.timestamp.physical_us / 1e6, 'instance': line.instance}
     if hasattr(line, 'kind'):
         row['kind'] = line.kind
         row['subject'] = line.subject
--- a/dandelionwinch/daemon/_wire.py
+++ b/dandelionwinch/daemon/_wire.py
@@ -85,8 +85,8 @@
 def dump_event(event):
     """Turns an event into its message."""
     return peer_pb2.Event(
-        physical_us=event.stamp.physical_us,
-        logical=event.stamp.logical,
+        physical_us=event.timestamp.physical_us,
+        logical=event.timestamp.logical,
         instance=event.instance,
         sequence=event.sequence,
         kind=event.kind,
--- a/dandelionwinch/timeline/_clock.py
+++ b/dandelionwinch/timeline/_clock.py
@@ -29,9 +29,9 @@
         """Returns the stamp of a local event."""
         return self._advance(self._last)
 
-    def meet(self, stamp):
+    def meet(self, timestamp):
         """Takes in the stamp of a message."""
-        return self._advance(max(self._last, stamp))
+        return self._advance(max(self._last, timestamp))
 
     def _advance(self, last):
         wall = self._wall_us()
--- a/dandelionwinch/timeline/_merge.py
+++ b/dandelionwinch/timeline/_merge.py
@@ -18,7 +18,7 @@
         detail: A short text.
     """
 
-    stamp: _clock.Timestamp
+    timestamp: _clock.Timestamp
     instance: str
     sequence: int
     kind: str
@@ -30,7 +30,7 @@
 class Gap:
     """Events of an instance that its ring no longer holds."""
 
-    stamp: _clock.Timestamp
+    timestamp: _clock.Timestamp
     instance: str
     missing: int
 
@@ -81,12 +81,12 @@
             first = 0 if following is None else following
             if event.sequence > first:
                 missing = event.sequence - first
-                lines.append(Gap(event.stamp, event.instance, missing))
+                lines.append(Gap(event.timestamp, event.instance, missing))
             lines.append(event)
             following = event.sequence + 1
 
     def order(line):
         sequence = line.sequence if isinstance(line, Event) else -1
-        return (line.stamp, line.instance, sequence)
+        return (line.timestamp, line.instance, sequence)
 
     return sorted(lines, key=order)
