--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -112,7 +112,7 @@
         core = self._core
         now = core.now()
         timestamp = timeline.Timestamp(digest.physical_us, digest.logical)
-        core.hybrid.meet(timestamp)
+        core.hybrid.update(timestamp)
         before = {k.name for k in core.members.live(now)}
         unknown = core.members.merge(digest, now)
         self._unknown[peer] = unknown
--- a/dandelionwinch/timeline/_clock.py
+++ b/dandelionwinch/timeline/_clock.py
@@ -29,7 +29,7 @@
         """Returns the stamp of a local event."""
         return self._advance(self._last)
 
-    def meet(self, timestamp):
+    def update(self, timestamp):
         """Takes in the stamp of a message."""
         return self._advance(max(self._last, timestamp))
 
