--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -73,7 +73,7 @@
         self.documents = revisions.Documents()
         self.catalog = catalog.EMPTY
         self.hybrid = timeline.HybridClock(_wall_us)
-        self.ring = timeline.Ring(
+        self.ring = timeline.EventBuffer(
             cfg.instance.name, self.hybrid, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
--- a/dandelionwinch/timeline/__init__.py
+++ b/dandelionwinch/timeline/__init__.py
@@ -5,6 +5,6 @@
 from dandelionwinch.timeline._merge import Event
 from dandelionwinch.timeline._merge import Gap
 from dandelionwinch.timeline._merge import merge
-from dandelionwinch.timeline._merge import Ring
+from dandelionwinch.timeline._merge import EventBuffer
 
-__all__ = ['Event', 'Gap', 'HybridClock', 'Ring', 'Timestamp', 'merge']
+__all__ = ['Event', 'Gap', 'HybridClock', 'EventBuffer', 'Timestamp', 'merge']
--- a/dandelionwinch/timeline/_merge.py
+++ b/dandelionwinch/timeline/_merge.py
@@ -35,7 +35,7 @@
     missing: int
 
 
-class Ring:
+class EventBuffer:
     """The latest events of one process."""
 
     __slots__ = ('_clock', '_events', '_instance', '_next')
