--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -73,7 +73,7 @@
         self.documents = revisions.Documents()
         self.catalog = catalog.EMPTY
         self.hybrid = timeline.HybridClock(_wall_us)
-        self.ring = timeline.EventBuffer(
+        self.event_buffer = timeline.EventBuffer(
             cfg.instance.name, self.hybrid, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
@@ -211,7 +211,7 @@
 
     def event(self, kind, subject, detail=''):
         """Records an event of the time line and logs it."""
-        self.ring.add(kind, subject, detail)
+        self.event_buffer.add(kind, subject, detail)
         logger.bind(subject=subject).debug('{} {}', kind, detail)
 
     async def execute(self, request):
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -105,7 +105,7 @@
         core = self._core
         request = peer_pb2.EventsRequest(limit=EVENTS_PER_INSTANCE)
         replies = await core.peers.all('Events', request)
-        rings = [core.ring.latest(EVENTS_PER_INSTANCE)]
+        rings = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
         silent = []
         for name, reply in replies.items():
             if reply is None:
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -176,7 +176,7 @@
 
     async def Events(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        events = self._core.ring.latest(request.limit)
+        events = self._core.event_buffer.latest(request.limit)
         reply = peer_pb2.EventsReply(
             events=[_wire.dump_event(event) for event in events]
         )
