--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -102,7 +102,7 @@
                 decode=rates[1][1],
                 sent=sent.get(pool, 0.0),
             )
-        timestamp = core.hybrid.now()
+        timestamp = core.hybrid_clock.now()
         digest.physical_us = timestamp.physical_us
         digest.logical = timestamp.logical
         return digest
@@ -112,7 +112,7 @@
         core = self._core
         now = core.now()
         timestamp = timeline.Timestamp(digest.physical_us, digest.logical)
-        core.hybrid.update(timestamp)
+        core.hybrid_clock.update(timestamp)
         before = {k.name for k in core.members.live(now)}
         unknown = core.members.merge(digest, now)
         self._unknown[peer] = unknown
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -72,9 +72,9 @@
         )
         self.documents = revisions.Documents()
         self.catalog = catalog.EMPTY
-        self.hybrid = timeline.HybridClock(_wall_us)
+        self.hybrid_clock = timeline.HybridClock(_wall_us)
         self.event_buffer = timeline.EventBuffer(
-            cfg.instance.name, self.hybrid, cfg.events_kept
+            cfg.instance.name, self.hybrid_clock, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
         self.scheduler = _work.Scheduler(self)
