--- a/dandelionwinch/daemon/_deciders.py
+++ b/dandelionwinch/daemon/_deciders.py
@@ -59,7 +59,7 @@
         return near[name]
 
     def _request(self, query):
-        quarantined = self._core.scheduler.beliefs.quarantined(
+        quarantined = self._core.scheduler.estimates.quarantined(
             self._core.now()
         )
         excluded = sorted(query.exclude | set(quarantined))
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_loads.py
@@ -108,13 +108,13 @@
         if self._core.catalog.get('upstream', message.upstream) is None:
             return
         self._seen[message.upstream] = _Seen(made_at, message)
-        beliefs = self._core.scheduler.beliefs
+        estimates = self._core.scheduler.estimates
         if message.failed:
-            beliefs.failed(message.upstream, self._core.now())
+            estimates.failed(message.upstream, self._core.now())
             return
         if message.role not in set(settings.Role):
             return
-        beliefs.report(
+        estimates.report(
             message.upstream,
             placement.Report(
                 made_at,
@@ -162,7 +162,7 @@
         return any(name == upstream for name, _order in self._holds)
 
     def _mark_held(self, upstream):
-        belief = self._core.scheduler.beliefs.get(upstream)
+        belief = self._core.scheduler.estimates.get(upstream)
         if belief is not None:
             belief.held = self.is_held(upstream)
 
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -189,7 +189,7 @@
         if upstream is None:
             raise errors.NotFound(f'upstream "{name}" does not exist')
         row = next(r for r in _tables.upstream_rows(core) if r['name'] == name)
-        belief = core.scheduler.beliefs.get(name)
+        belief = core.scheduler.estimates.get(name)
         if belief is not None:
             now = core.now()
             model = core.catalog.get('pool', upstream.pool).model
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -227,12 +227,12 @@
     async def _plan(self, authority, pool, upstreams):
         core = self._core
         now = core.now()
-        beliefs = [core.scheduler.beliefs.get(r.name) for r in upstreams]
-        beliefs = [b for b in beliefs if b is not None and b.report]
-        if len(beliefs) < len(upstreams) or len(beliefs) < 2:
+        estimates = [core.scheduler.estimates.get(r.name) for r in upstreams]
+        estimates = [b for b in estimates if b is not None and b.report]
+        if len(estimates) < len(upstreams) or len(estimates) < 2:
             return
         change = placement.plan_roles(
-            beliefs,
+            estimates,
             self._rates(pool, now),
             core.catalog.policy_of(pool),
             0,
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -55,7 +55,7 @@
 def _upstream_row(core, upstream, now):
     seen = core.loads.latest(upstream.name)
     load = seen.message if seen is not None else None
-    belief = core.scheduler.beliefs.get(upstream.name)
+    belief = core.scheduler.estimates.get(upstream.name)
     return {
         'name': upstream.name,
         'data_centre': core.catalog.data_centre_of(upstream),
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -22,8 +22,8 @@
         self._core = core
         self.book = jobs.JobBook()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
-        self.beliefs = placement.Beliefs()
-        self.placer = placement.Placer(self.beliefs, core.rng)
+        self.estimates = placement.Beliefs()
+        self.placer = placement.Placer(self.estimates, core.rng)
         self._budgets = {}
         self.trends = {}
         self._demands = {}
@@ -34,7 +34,7 @@
 
     def adopt(self, catalog):
         """Takes over the upstreams of a new configuration."""
-        self.beliefs.set_upstreams(
+        self.estimates.set_upstreams(
             _belief(upstream, catalog.data_centre_of(upstream))
             for upstream in catalog.all('upstream')
             if upstream.role is not settings.Role.SERVICE
@@ -229,7 +229,7 @@
         """Leaves an upstream alone for a while after a failure."""
         core = self._core
         now = core.now()
-        self.beliefs.failed(message.upstream, now)
+        self.estimates.failed(message.upstream, now)
         core.loads.rest(message.upstream, now)
         record = self.book.get(message.job_id)
         if record is not None:
