--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_loads.py
@@ -162,9 +162,9 @@
         return any(name == upstream for name, _order in self._holds)
 
     def _mark_held(self, upstream):
-        belief = self._core.scheduler.estimates.get(upstream)
-        if belief is not None:
-            belief.held = self.is_held(upstream)
+        estimate = self._core.scheduler.estimates.get(upstream)
+        if estimate is not None:
+            estimate.held = self.is_held(upstream)
 
     def _end_holds(self, now):
         over = [key for key, until in self._holds.items() if until < now]
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -189,19 +189,19 @@
         if upstream is None:
             raise errors.NotFound(f'upstream "{name}" does not exist')
         row = next(r for r in _tables.upstream_rows(core) if r['name'] == name)
-        belief = core.scheduler.estimates.get(name)
-        if belief is not None:
+        estimate = core.scheduler.estimates.get(name)
+        if estimate is not None:
             now = core.now()
             model = core.catalog.get('pool', upstream.pool).model
             gap_s = core.catalog.get('model', model).token_gap_s
-            speed = belief.prefill_speed(gap_s)
-            row['believed_decoding'] = belief.decoding()
-            row['believed_slots'] = belief.slots(gap_s)
+            speed = estimate.prefill_speed(gap_s)
+            row['believed_decoding'] = estimate.decoding()
+            row['believed_slots'] = estimate.slots(gap_s)
             row['believed_prefill_tokens_per_s'] = round(speed)
             row['believed_backlog_tokens'] = round(
-                belief.backlog(now, max(1.0, speed))
+                estimate.backlog(now, max(1.0, speed))
             )
-            row['placed_since_report'] = len(belief.sent)
+            row['placed_since_report'] = len(estimate.sent)
         return {'columns': list(row), 'rows': [row]}
 
     async def _command(self, statement):
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -55,7 +55,7 @@
 def _upstream_row(core, upstream, now):
     seen = core.loads.latest(upstream.name)
     load = seen.message if seen is not None else None
-    belief = core.scheduler.estimates.get(upstream.name)
+    estimate = core.scheduler.estimates.get(upstream.name)
     return {
         'name': upstream.name,
         'data_centre': core.catalog.data_centre_of(upstream),
@@ -63,7 +63,7 @@
         'role': load.role if load and load.role else str(upstream.role),
         'wanted_role': str(upstream.role),
         'state': str(upstream.state),
-        'health': _health(core, upstream, load, belief, now),
+        'health': _health(core, upstream, load, estimate, now),
         'running': load.running if load else 0,
         'waiting': load.waiting if load else 0,
         'kv_tokens': load.kv_tokens if load else 0,
@@ -76,7 +76,7 @@
     }
 
 
-def _health(core, upstream, load, belief, now):
+def _health(core, upstream, load, estimate, now):
     if core.loads.is_held(upstream.name):
         return 'held'
     if upstream.role is settings.Role.SERVICE:
@@ -88,7 +88,7 @@
         return 'failed'
     if load.away:
         return 'away'
-    if belief is not None and not belief.usable(now):
+    if estimate is not None and not estimate.usable(now):
         return 'resting'
     return 'ok'
 
