--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -53,10 +53,10 @@
             raise errors.BadRequest(
                 f'method "{request.method}" is not supported'
             )
-        core.ask(messages.Admit(request.id, team, name))
+        core.request(messages.Admit(request.id, team, name))
 
         def finish(state, code, tokens):
-            core.ask(messages.Finish(request.id, state, code, tokens))
+            core.request(messages.Finish(request.id, state, code, tokens))
 
         try:
             answer, headers = self._call(request, name, path)
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -44,7 +44,7 @@
     """Runs all tasks of an instance in one event loop.
 
     The loop has a thread of its own. Other threads send a message with
-    ``ask`` and wait for its reply; they touch no state themselves.
+    ``request`` and wait for its reply; they touch no state themselves.
     """
 
     def __init__(self, cfg):
@@ -154,7 +154,7 @@
                 f'{timeout_s:g} s'
             ) from None
 
-    def ask(self, message, timeout_s=ASK_TIMEOUT_S):
+    def request(self, message, timeout_s=ASK_TIMEOUT_S):
         """Sends a message from another thread and waits for the reply.
 
         Raises:
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -40,10 +40,10 @@
         """
         core = self._core
         job = jobs.parse_completion(request.path, request.body)
-        core.ask(messages.Admit(request.id, team, job.model))
+        core.request(messages.Admit(request.id, team, job.model))
 
         def finish(state, code, tokens):
-            core.ask(messages.Finish(request.id, state, code, tokens))
+            core.request(messages.Finish(request.id, state, code, tokens))
 
         answer = _Answer(core, request.id, job)
         try:
