--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -69,7 +69,9 @@
         return _response(answer, headers, finish)
 
     def _call(self, request, name, path):
-        data_centres = self._core.ask(messages.PlaceService(request.id, name))
+        data_centres = self._core.request(
+            messages.PlaceService(request.id, name)
+        )
         service = data_centres.service
         once = service.repeat is settings.Repeat.ONCE
         key = request.header('idempotency-key')
@@ -103,7 +105,7 @@
             left_s = deadline - time.monotonic()
             if left_s <= 0:
                 break
-            if turn and not self._core.ask(
+            if turn and not self._core.request(
                 messages.Retry(call.request_id, service.name)
             ):
                 break
@@ -111,7 +113,7 @@
             if _is_good(answer):
                 return answer
             reason = _reason(answer)
-            self._core.ask(
+            self._core.request(
                 messages.UpstreamFailed(call.request_id, upstream.name, reason)
             )
         exc = errors.UpstreamFailed(
@@ -136,7 +138,7 @@
         done, _rest = concurrent.futures.wait([first], HEDGE_DELAY_S)
         if done:
             return first.result()
-        if not self._core.ask(
+        if not self._core.request(
             messages.Retry(call.request_id, self._target(call))
         ):
             return first.result()
@@ -213,13 +215,13 @@
     def _execute(self, request):
         match request:
             case claims.OpenClaim(mutation=mutation):
-                return self._core.ask(messages.OpenClaim(mutation))
+                return self._core.request(messages.OpenClaim(mutation))
             case claims.SendCall():
                 return self._send()
             case claims.AskOutcome():
                 return self._ask_outcome()
             case claims.CloseClaim(mutation=mutation):
-                return self._core.ask(messages.CloseClaim(mutation))
+                return self._core.request(messages.CloseClaim(mutation))
         raise TypeError(f'"{request!r}" is not a request of a call')
 
     def _send(self):
@@ -230,7 +232,7 @@
         )
         if _is_good(answer):
             return claims.Sent(True, answer)
-        self._core.ask(
+        self._core.request(
             messages.UpstreamFailed(
                 self._call.request_id, upstream.name, _reason(answer)
             )
--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -102,7 +102,7 @@
                     content_type='text/plain; version=0.0.4',
                 )
             case '/readyz':
-                reason = self._core.ask(messages.CheckReadiness())
+                reason = self._core.request(messages.CheckReadiness())
                 status = 503 if reason else 200
                 value = {'ready': not reason, 'reason': reason}
                 return listeners.json_response(value, status)
@@ -111,7 +111,7 @@
     def _address(self, request, team):
         data_centre = request.query.get('data_centre', self._core.data_centre)
         team = request.query.get('team', team)
-        found = self._core.ask(messages.FindAddress(data_centre, team))
+        found = self._core.request(messages.FindAddress(data_centre, team))
         return listeners.json_response(
             {
                 'address': found.address,
@@ -142,5 +142,5 @@
         except UnicodeDecodeError as exc:
             raise errors.BadRequest('statement is not UTF-8') from exc
         return listeners.json_response(
-            self._core.ask(messages.RunStatement(text))
+            self._core.request(messages.RunStatement(text))
         )
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -148,7 +148,7 @@
         if self._target is not None:
             return self._assembly.resume()
         self._generation += 1
-        placed = self._core.ask(
+        placed = self._core.request(
             messages.PlaceCompletion(
                 self._job_id, self.job, frozenset(self._exclude)
             )
@@ -264,10 +264,14 @@
 
     def _blame(self, upstream, reason):
         self._exclude.add(upstream)
-        self._core.ask(messages.UpstreamFailed(self._job_id, upstream, reason))
+        self._core.request(
+            messages.UpstreamFailed(self._job_id, upstream, reason)
+        )
 
     def _spend_retry(self, reason):
-        if not self._core.ask(messages.Retry(self._job_id, self.job.model)):
+        if not self._core.request(
+            messages.Retry(self._job_id, self.job.model)
+        ):
             raise self._failed(f'no retries are left after: {reason}')
 
     def _cancel(self):
