--- a/dandelionwinch/timeline/__init__.py
+++ b/dandelionwinch/timeline/__init__.py
@@ -3,8 +3,8 @@
 from dandelionwinch.timeline._clock import HybridClock
 from dandelionwinch.timeline._clock import Timestamp
 from dandelionwinch.timeline._merge import Event
+from dandelionwinch.timeline._merge import EventBuffer
 from dandelionwinch.timeline._merge import Gap
 from dandelionwinch.timeline._merge import merge
-from dandelionwinch.timeline._merge import EventBuffer
 
 __all__ = ['Event', 'Gap', 'HybridClock', 'EventBuffer', 'Timestamp', 'merge']
