--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -105,7 +105,7 @@
         core = self._core
         request = peer_pb2.EventsRequest(limit=EVENTS_PER_INSTANCE)
         replies = await core.peers.all('Events', request)
-        rings = [core.ring.latest(EVENTS_PER_INSTANCE)]
+        rings = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
         silent = []
         for name, reply in replies.items():
             if reply is None:
@@ -161,7 +161,7 @@
         ]
 
     def _own_job(self, job_id):
-        record = self._core.work.book.get(job_id)
+        record = self._core.scheduler.book.get(job_id)
         if record is None:
             return []
         return [
@@ -189,7 +189,7 @@
         if upstream is None:
             raise errors.NotFound(f'upstream "{name}" does not exist')
         row = next(r for r in _tables.upstream_rows(core) if r['name'] == name)
-        estimate = core.work.estimates.get(name)
+        estimate = core.scheduler.estimates.get(name)
         if estimate is not None:
             now = core.now()
             model = core.catalog.get('pool', upstream.pool).model
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -55,7 +55,7 @@
 def _upstream_row(core, upstream, now):
     seen = core.loads.latest(upstream.name)
     load = seen.message if seen is not None else None
-    estimate = core.work.estimates.get(upstream.name)
+    estimate = core.scheduler.estimates.get(upstream.name)
     return {
         'name': upstream.name,
         'data_centre': core.catalog.data_centre_of(upstream),
@@ -134,7 +134,7 @@
             'seconds': round((record.ended or now) - record.started, 3),
             'instance': core.name,
         }
-        for record in core.work.book.all()
+        for record in core.scheduler.book.all()
     ]
 
 
@@ -171,7 +171,7 @@
 
 
 def _event_row(line):
-    row = {'time': line.stamp.physical_us / 1e6, 'instance': line.instance}
+    row = {'time': line.timestamp.physical_us / 1e6, 'instance': line.instance}
     if hasattr(line, 'kind'):
         row['kind'] = line.kind
         row['subject'] = line.subject
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -15,7 +15,7 @@
 GIGABYTE = 1e9
 
 
-class Work:
+class Scheduler:
     """Owns the running jobs, the limits and the placer."""
 
     def __init__(self, core):
@@ -182,7 +182,7 @@
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
         apart = choice.prefill != decode.name
-        return messages.Placed(
+        return messages.Placement(
             upstream=decode.name,
             address=decode.address,
             prefill_upstream=prefill.name if apart else '',
@@ -225,7 +225,7 @@
         if record is not None:
             record.upstream = upstreams[0].name
             record.attempts += 1
-        return messages.ServicePlaces(service, upstreams)
+        return messages.ServicePlacement(service, upstreams)
 
     def upstream_failed(self, message):
         """Leaves an upstream alone for a while after a failure."""
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -40,10 +40,10 @@
         """
         core = self._core
         job = jobs.parse_completion(request.path, request.body)
-        core.ask(messages.Admit(request.id, team, job.model))
+        core.request(messages.Admit(request.id, team, job.model))
 
         def finish(state, code, tokens):
-            core.ask(messages.Finish(request.id, state, code, tokens))
+            core.request(messages.Finish(request.id, state, code, tokens))
 
         answer = _Answer(core, request.id, job)
         try:
@@ -85,7 +85,7 @@
 class _Target:
     """The upstream of the present attempt."""
 
-    placed: messages.Placed
+    placed: messages.Placement
     generation: int
     transfer: dict | None = None
 
@@ -148,8 +148,8 @@
         if self._target is not None:
             return self._assembly.resume()
         self._generation += 1
-        placed = self._core.ask(
-            messages.DataCentre(
+        placed = self._core.request(
+            messages.PlaceCompletion(
                 self._job_id, self.job, frozenset(self._exclude)
             )
         )
@@ -264,10 +264,14 @@
 
     def _blame(self, upstream, reason):
         self._exclude.add(upstream)
-        self._core.ask(messages.UpstreamFailed(self._job_id, upstream, reason))
+        self._core.request(
+            messages.UpstreamFailed(self._job_id, upstream, reason)
+        )
 
     def _spend_retry(self, reason):
-        if not self._core.ask(messages.Retry(self._job_id, self.job.model)):
+        if not self._core.request(
+            messages.Retry(self._job_id, self.job.model)
+        ):
             raise self._failed(f'no retries are left after: {reason}')
 
     def _cancel(self):
