--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -142,7 +142,7 @@
         conductor = self._conductors.get(authority)
         if conductor is None:
             settle_s = self._core.cfg.timing.gone_margin_s
-            conductor = orders.Conductor(authority, settle_s)
+            conductor = orders.OrderExecutor(authority, settle_s)
             self._conductors[authority] = conductor
         return conductor
 
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -5,7 +5,7 @@
 from dandelionwinch.orders._authority import Owned
 from dandelionwinch.orders._authority import STEPS_PER_LEASE
 from dandelionwinch.orders._authority import Waiting
-from dandelionwinch.orders._conduct import Conductor
+from dandelionwinch.orders._conduct import OrderExecutor
 from dandelionwinch.orders._conduct import Hold
 from dandelionwinch.orders._conduct import HoldUpstream
 from dandelionwinch.orders._conduct import PollUpstream
@@ -24,7 +24,7 @@
 
 __all__ = [
     'Authority',
-    'Conductor',
+    'OrderExecutor',
     'DrainReport',
     'Hold',
     'HoldUpstream',
--- a/dandelionwinch/orders/_conduct.py
+++ b/dandelionwinch/orders/_conduct.py
@@ -101,7 +101,7 @@
     order_id: str = ''
 
 
-class Conductor:
+class OrderExecutor:
     """Carries out the orders of one shard's holder.
 
     An order is in the store before it is sent, an upstream has at most
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -68,7 +68,7 @@
         self.authority = orders.Authority(
             SHARD, process.name, process.incarnation, _TIMING
         )
-        self.conductor = orders.Conductor(
+        self.conductor = orders.OrderExecutor(
             self.authority, _TIMING.gone_margin_s
         )
         self.leaving = False
