--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -181,7 +181,7 @@
     def _wish(self, shard, upstream, role):
         source = self._core.documents.revision_of(f'upstream/{upstream.name}')
         order_id = f'{upstream.name}-{shard.epoch + 1}'
-        return orders.Wish(str(role), source, order_id)
+        return orders.DesiredRole(str(role), source, order_id)
 
     async def _hold(self, upstream_name, order_id):
         core = self._core
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -13,7 +13,7 @@
 from dandelionwinch.orders._conduct import ReleaseHold
 from dandelionwinch.orders._conduct import SendOrder
 from dandelionwinch.orders._conduct import Status
-from dandelionwinch.orders._conduct import Wish
+from dandelionwinch.orders._conduct import DesiredRole
 from dandelionwinch.orders._drain import DrainReport
 from dandelionwinch.orders._drain import may_send
 from dandelionwinch.orders._shard import Order
@@ -40,7 +40,7 @@
     'Shard',
     'Status',
     'Waiting',
-    'Wish',
+    'DesiredRole',
     'may_send',
     'shard_key',
     'shard_of',
--- a/dandelionwinch/orders/_conduct.py
+++ b/dandelionwinch/orders/_conduct.py
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen
-class Wish:
+class DesiredRole:
     """What is wanted of an upstream.
 
     Attributes:
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -116,7 +116,7 @@
         if last is not None and last.source >= source:
             return None
         order_id = f'{upstream.cfg.name}-{shard.epoch + 1}'
-        return orders.Wish(wanted, source, order_id)
+        return orders.DesiredRole(wanted, source, order_id)
 
     def handle(self, process, request, reply):
         """Serves the requests of the conductor's programs."""
