--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -260,7 +260,7 @@
 def _shard_cost(clocked, shards):
     started = time.process_time()
     leases = [
-        orders.Authority(f'shard-{number}', 'entry-1', 1, _TIMING)
+        orders.ShardLease(f'shard-{number}', 'entry-1', 1, _TIMING)
         for number in range(shards)
     ]
     period_s = _TIMING.lease_s / orders.STEPS_PER_LEASE
--- a/dandelionwinch/bench/_takeover.py
+++ b/dandelionwinch/bench/_takeover.py
@@ -50,7 +50,7 @@
         )
 
     def authority(name):
-        return orders.Authority('shard', name, 1, _TIMING)
+        return orders.ShardLease('shard', name, 1, _TIMING)
 
     first, second = authority('a'), authority('b')
     departures = membership.Departures(_TIMING.gone_margin_s)
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -84,7 +84,7 @@
         core = self._core
         authority = self._authorities.get(name)
         if authority is None:
-            authority = orders.Authority(
+            authority = orders.ShardLease(
                 name, core.name, core.incarnation, core.cfg.timing
             )
             self._authorities[name] = authority
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -1,6 +1,6 @@
 """Authority over upstreams, and orders that outlive their sender."""
 
-from dandelionwinch.orders._authority import Authority
+from dandelionwinch.orders._authority import ShardLease
 from dandelionwinch.orders._authority import Lost
 from dandelionwinch.orders._authority import Owned
 from dandelionwinch.orders._authority import STEPS_PER_LEASE
@@ -23,7 +23,7 @@
 from dandelionwinch.orders._shard import shard_of
 
 __all__ = [
-    'Authority',
+    'ShardLease',
     'OrderExecutor',
     'DrainReport',
     'Hold',
--- a/dandelionwinch/orders/_authority.py
+++ b/dandelionwinch/orders/_authority.py
@@ -31,7 +31,7 @@
     reason: str
 
 
-class Authority:
+class ShardLease:
     """The lease of one shard: taking, renewing, ordering, releasing.
 
     The deadline is counted on the own monotonic clock from before the
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -65,7 +65,7 @@
         self.search = search
         self.process = process
         self.departures = membership.Departures(_TIMING.gone_margin_s)
-        self.authority = orders.Authority(
+        self.authority = orders.ShardLease(
             SHARD, process.name, process.incarnation, _TIMING
         )
         self.conductor = orders.OrderExecutor(
