--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -263,7 +263,7 @@
         orders.ShardLease(f'shard-{number}', 'entry-1', 1, _TIMING)
         for number in range(shards)
     ]
-    period_s = _TIMING.lease_s / orders.STEPS_PER_LEASE
+    period_s = _TIMING.lease_s / orders.RENEWALS_PER_LEASE
     start = clocked.now
     while clocked.now < start + STORE_S:
         for lease in leases:
--- a/dandelionwinch/bench/_takeover.py
+++ b/dandelionwinch/bench/_takeover.py
@@ -58,7 +58,7 @@
     if released:
         run(first.release())
     died_at = 0.0
-    step_s = _TIMING.lease_s / orders.STEPS_PER_LEASE
+    step_s = _TIMING.lease_s / orders.RENEWALS_PER_LEASE
     now[0] = step_s * rng.random()
     while True:
         listed = ['b'] if now[0] > died_at + LIST_LAG_S else ['a', 'b']
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -28,7 +28,7 @@
         """Returns the coroutines of this task."""
         timing = self._core.cfg.timing
         rng = self._core.rng
-        period_s = timing.lease_s / orders.STEPS_PER_LEASE
+        period_s = timing.lease_s / orders.RENEWALS_PER_LEASE
         yield _periodic.every(period_s, self._lead, rng)
         yield _periodic.every(timing.load_s, self._carry_out_all, rng)
         yield _periodic.every(1.0, self._renew_drains, rng)
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -3,7 +3,7 @@
 from dandelionwinch.orders._authority import ShardLease
 from dandelionwinch.orders._authority import Lost
 from dandelionwinch.orders._authority import Owned
-from dandelionwinch.orders._authority import STEPS_PER_LEASE
+from dandelionwinch.orders._authority import RENEWALS_PER_LEASE
 from dandelionwinch.orders._authority import Waiting
 from dandelionwinch.orders._conduct import OrderExecutor
 from dandelionwinch.orders._conduct import Hold
@@ -35,7 +35,7 @@
     'PollUpstream',
     'Progress',
     'ReleaseHold',
-    'STEPS_PER_LEASE',
+    'RENEWALS_PER_LEASE',
     'SendOrder',
     'Shard',
     'Status',
--- a/dandelionwinch/orders/_authority.py
+++ b/dandelionwinch/orders/_authority.py
@@ -6,7 +6,7 @@
 from dandelionwinch.orders import _shard
 
 MAX_ATTEMPTS = 4
-STEPS_PER_LEASE = 3
+RENEWALS_PER_LEASE = 3
 
 
 @attrs.frozen
