--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -198,7 +198,7 @@
             if reply is not None
         }
         names = [k.name for k in core.members.may_live(core.now())]
-        return orders.Hold(tuple(names), reports)
+        return orders.HoldState(tuple(names), reports)
 
     async def _send(self, authority, upstream, order):
         core = self._core
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -6,7 +6,7 @@
 from dandelionwinch.orders._authority import RENEWALS_PER_LEASE
 from dandelionwinch.orders._authority import Waiting
 from dandelionwinch.orders._conduct import OrderExecutor
-from dandelionwinch.orders._conduct import Hold
+from dandelionwinch.orders._conduct import HoldState
 from dandelionwinch.orders._conduct import HoldUpstream
 from dandelionwinch.orders._conduct import PollUpstream
 from dandelionwinch.orders._conduct import Progress
@@ -26,7 +26,7 @@
     'ShardLease',
     'OrderExecutor',
     'DrainReport',
-    'Hold',
+    'HoldState',
     'HoldUpstream',
     'Lost',
     'Order',
--- a/dandelionwinch/orders/_conduct.py
+++ b/dandelionwinch/orders/_conduct.py
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class Hold:
+class HoldState:
     """How a hold stands.
 
     Attributes:
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -125,7 +125,7 @@
                 self.search.poll(name, reply)
             case orders.HoldUpstream():
                 held = orders.DrainReport('all', 0, process.now(), 10.0)
-                reply(orders.Hold(('all',), {'all': held}))
+                reply(orders.HoldState(('all',), {'all': held}))
             case orders.ReleaseHold():
                 reply(None)
             case orders.SendOrder(order=order):
