--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -297,4 +297,4 @@
     if load is None:
         return None
     jobs = load.running + load.waiting
-    return orders.Status(load.order_id, load.away, jobs, load.epoch)
+    return orders.UpstreamStatus(load.order_id, load.away, jobs, load.epoch)
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -12,7 +12,7 @@
 from dandelionwinch.orders._conduct import Progress
 from dandelionwinch.orders._conduct import ReleaseHold
 from dandelionwinch.orders._conduct import SendOrder
-from dandelionwinch.orders._conduct import Status
+from dandelionwinch.orders._conduct import UpstreamStatus
 from dandelionwinch.orders._conduct import DesiredRole
 from dandelionwinch.orders._drain import DrainReport
 from dandelionwinch.orders._drain import may_send
@@ -38,7 +38,7 @@
     'RENEWALS_PER_LEASE',
     'SendOrder',
     'Shard',
-    'Status',
+    'UpstreamStatus',
     'Waiting',
     'DesiredRole',
     'may_send',
--- a/dandelionwinch/orders/_conduct.py
+++ b/dandelionwinch/orders/_conduct.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Status:
+class UpstreamStatus:
     """An upstream's own word.
 
     Attributes:
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -55,7 +55,7 @@
     def status(self, now):
         """Returns the upstream's own word."""
         away = now < self.busy_until
-        return orders.Status(self.order_id, away, 0, self.epoch)
+        return orders.UpstreamStatus(self.order_id, away, 0, self.epoch)
 
 
 class _Instance:
