--- a/dandelionwinch/bench/_capacity.py
+++ b/dandelionwinch/bench/_capacity.py
@@ -226,7 +226,7 @@
 
 def _known_members():
     return [
-        membership.Known(
+        membership.PeerState(
             peer_pb2.Member(
                 name=f'entry-{n}',
                 data_centre=f'data_centre-{n % DATA_CENTRES}',
--- a/dandelionwinch/membership/__init__.py
+++ b/dandelionwinch/membership/__init__.py
@@ -3,14 +3,14 @@
 from dandelionwinch.membership._departures import Departures
 from dandelionwinch.membership._departures import staffed_data_centres
 from dandelionwinch.membership._freshness import Freshness
-from dandelionwinch.membership._members import Known
+from dandelionwinch.membership._members import PeerState
 from dandelionwinch.membership._members import member_id
 from dandelionwinch.membership._members import Membership
 
 __all__ = [
     'Departures',
     'Freshness',
-    'Known',
+    'PeerState',
     'Membership',
     'member_id',
     'staffed_data_centres',
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class Known:
+class PeerState:
     """What is known of one instance.
 
     Attributes:
@@ -85,7 +85,7 @@
     )
 
     def __init__(self, member, timing, rng, seeds=()):
-        self.me = Known(member)
+        self.me = PeerState(member)
         self._by_id = {member_id(member.name): self.me}
         self._rng = rng
         self._seeds = list(seeds)
@@ -243,7 +243,7 @@
         key = member_id(member.name)
         known = self._by_id.get(key)
         if known is None:
-            self._by_id[key] = Known(member)
+            self._by_id[key] = PeerState(member)
         elif known is not self.me and (
             member.incarnation > known.member.incarnation
         ):
@@ -263,7 +263,7 @@
             key = member_id(line.name)
             known = self._by_id.get(key)
             if known is None:
-                known = Known(_member_of(line))
+                known = PeerState(_member_of(line))
                 self._by_id[key] = known
             known.listed = True
             known.listed_leaving = line.leaving
