--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -197,7 +197,7 @@
             for name, reply in replies.items()
             if reply is not None
         }
-        names = [k.name for k in core.members.may_live(core.now())]
+        names = [k.name for k in core.members.maybe_alive(core.now())]
         return orders.HoldState(tuple(names), reports)
 
     async def _send(self, authority, upstream, order):
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -300,7 +300,7 @@
         """Returns all known instances in order of name."""
         return sorted(self._by_id.values(), key=lambda known: known.name)
 
-    def may_live(self, now):
+    def maybe_alive(self, now):
         """Returns instances that may still run: live or listed."""
         pace = self._pace()
         return [
--- a/dandelionwinch/orders/_conduct.py
+++ b/dandelionwinch/orders/_conduct.py
@@ -68,7 +68,7 @@
         reports: DrainReport by instance.
     """
 
-    may_live: tuple
+    maybe_alive: tuple
     reports: dict
 
 
@@ -180,7 +180,7 @@
         hold = yield HoldUpstream(upstream.name, order.id)
         clock = yield effects.Clock()
         reason = _drain.may_send(
-            hold.may_live,
+            hold.maybe_alive,
             hold.reports,
             None if status is None else status.jobs,
             clock.now,
