--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -38,7 +38,7 @@
     async def _beat(self):
         core = self._core
         now = core.now()
-        for known in core.members.everyone():
+        for known in core.members.all_instances():
             core.departures.restarted(known.name, known.member.incarnation)
         addresses = core.members.tick(now)
         core.members.me.jobs = core.work.jobs()
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -261,7 +261,9 @@
 
     def not_gone(self):
         """Returns known instances that are not certainly gone."""
-        return self.departures.remaining(self.members.everyone(), self.now())
+        return self.departures.remaining(
+            self.members.all_instances(), self.now()
+        )
 
     def unready_reason(self):
         """Returns why no new work is taken, or an empty string."""
@@ -270,7 +272,10 @@
             return 'this instance is stopping'
         if self.documents.revision == 0:
             return 'this instance has no configuration yet'
-        if self.members.is_suspect(now) and len(self.members.everyone()) > 1:
+        if (
+            self.members.is_suspect(now)
+            and len(self.members.all_instances()) > 1
+        ):
             return 'this instance was paused and has met no peer since'
         if self.is_cut_off():
             return 'this instance is cut off and may hold old settings'
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -229,7 +229,7 @@
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
             return
-        names = {known.name for known in self._core.members.everyone()}
+        names = {known.name for known in self._core.members.all_instances()}
         if statement.name not in names:
             raise errors.NotFound(
                 f'instance "{statement.name}" does not exist'
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -108,7 +108,7 @@
             'listed': known.listed,
             'address': known.member.client_address,
         }
-        for known in core.members.everyone()
+        for known in core.members.all_instances()
     ]
 
 
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -296,7 +296,7 @@
             patience_s *= FAR_PATIENCE
         return now - known.heard_at <= patience_s * pace
 
-    def everyone(self):
+    def all_instances(self):
         """Returns all known instances in order of name."""
         return sorted(self._by_id.values(), key=lambda known: known.name)
 
@@ -305,7 +305,7 @@
         pace = self._pace()
         return [
             known
-            for known in self.everyone()
+            for known in self.all_instances()
             if known.listed or self._is_live(known, now, pace)
         ]
 
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -47,7 +47,9 @@
 
     def remaining(self):
         """Returns known instances that are not certainly gone."""
-        return self.departures.remaining(self.members.everyone(), self.now())
+        return self.departures.remaining(
+            self.members.all_instances(), self.now()
+        )
 
     def _beat(self):
         self.process.soon(self.timing.beat_s, self._beat)
