--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -96,7 +96,7 @@
     by_address = {node.name: node for node in nodes}
     listed = [_listed(node.members.me.member) for node in nodes]
     for node in nodes:
-        node.members.overlay(listed)
+        node.members.merge_list(listed)
     steps = int((WARM_UP_S + GOSSIP_S) / _TIMING.beat_s)
     warm = int(WARM_UP_S / _TIMING.beat_s)
     started = time.process_time()
--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -32,7 +32,7 @@
         if listed is None:
             core.departures.unread()
             return
-        core.members.overlay(listed)
+        core.members.merge_list(listed)
         core.departures.listed(line.name for line in listed)
 
     async def _beat(self):
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -251,7 +251,7 @@
             known.beat = 0
             known.leaves = 0
 
-    def overlay(self, listed):
+    def merge_list(self, listed):
         """Takes in the platform's list, which lags.
 
         Args:
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -55,7 +55,7 @@
         self.process.soon(self.timing.beat_s, self._beat)
         now = self.now()
         lines = self.search.listed()
-        self.members.overlay(lines)
+        self.members.merge_list(lines)
         self.departures.listed(line.name for line in lines)
         self.members.me.revision = self.documents.revision
         for address in self.members.tick(now):
