--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -104,7 +104,7 @@
             'state': _instance_state(known, live),
             'jobs': known.jobs,
             'revision': known.revision,
-            'silent_s': round(max(0.0, now - known.heard_at), 2),
+            'silent_s': round(max(0.0, now - known.heartbeat_at), 2),
             'listed': known.listed,
             'address': known.member.client_address,
         }
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -39,7 +39,7 @@
     member: peer_pb2.Member
     beat: int = 0
     leaves: int = 0
-    heard_at: float = float('-inf')
+    heartbeat_at: float = float('-inf')
     listed: bool | None = None
     listed_leaving: bool = False
     jobs: int = 0
@@ -106,7 +106,7 @@
         """
         self._note_pause(now)
         self._last_tick = now
-        self.me.heard_at = now
+        self.me.heartbeat_at = now
         self._forget(now)
         due_s = self._beat_s * (self._pace() - BEAT_SLACK)
         if now - self._last_beat < due_s:
@@ -147,7 +147,7 @@
             key
             for key, known in self._by_id.items()
             if known is not self.me
-            and now - known.heard_at > self._forget_s
+            and now - known.heartbeat_at > self._forget_s
             and not known.listed
         ]
         for key in over:
@@ -208,7 +208,7 @@
         for key, known in self._by_id.items():
             if key in self._asked:
                 digest.introduced.append(known.member)
-            if now - known.heard_at > self._forget_s:
+            if now - known.heartbeat_at > self._forget_s:
                 continue
             if known.data_centre in near_data_centres:
                 digest.pulses.append(_pulse(key, known))
@@ -294,7 +294,7 @@
         patience_s = self._suspect_s
         if known.data_centre != self.me.data_centre:
             patience_s *= FAR_PATIENCE
-        return now - known.heard_at <= patience_s * pace
+        return now - known.heartbeat_at <= patience_s * pace
 
     def all_instances(self):
         """Returns all known instances in order of name."""
@@ -344,7 +344,7 @@
     known.revision = max(known.revision, pulse.revision)
     if pulse.beat > known.beat:
         known.beat = pulse.beat
-        known.heard_at = now
+        known.heartbeat_at = now
         known.jobs = pulse.jobs
 
 
