--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -41,8 +41,8 @@
         for known in core.members.all_instances():
             core.departures.restarted(known.name, known.member.incarnation)
         addresses = core.members.tick(now)
-        core.members.me.jobs = core.work.jobs()
-        core.members.me.revision = core.documents.revision
+        core.members.local.jobs = core.work.jobs()
+        core.members.local.revision = core.documents.revision
         core.metrics.members.set(len(core.members.live(now)))
         core.metrics.ready.set(0 if core.unready_reason() else 1)
         await asyncio.gather(*(self._exchange(a) for a in addresses))
@@ -51,11 +51,11 @@
         """Tells every live peer of a change at once."""
         core = self._core
         core.members.tick(core.now())
-        core.members.me.revision = core.documents.revision
+        core.members.local.revision = core.documents.revision
         peers = [
             known.member.peer_address
             for known in core.members.live(core.now())
-            if known is not core.members.me
+            if known is not core.members.local
         ]
         await asyncio.gather(*(self._exchange(a) for a in peers))
 
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -91,7 +91,7 @@
         if not usable:
             return None
         best = max(usable, key=lambda k: utils.stable_hash(bucket, k.name))
-        return None if best is core.members.me else best
+        return None if best is core.members.local else best
 
     async def _route(self, mutation):
         number = claims.bucket_of(mutation.key, self._core.cfg.claims.buckets)
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -269,7 +269,7 @@
         )
         while True:
             now = core.now()
-            core.members.me.revision = core.documents.revision
+            core.members.local.revision = core.documents.revision
             verdict = watch.observe(core.not_gone(), now)
             if verdict.accepted or now - asked_at > ACCEPT_TIMEOUT_S:
                 break
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -101,7 +101,7 @@
         others = [
             known
             for known in core.members.live(core.now())
-            if known is not core.members.me
+            if known is not core.members.local
         ]
         replies = await asyncio.gather(
             *(
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -62,7 +62,7 @@
 
     def _should_lead(self, name, pool, now):
         core = self._core
-        if core.members.me.leaving or core.unready_reason():
+        if core.members.local.leaving or core.unready_reason():
             return False
         usable = core.members.usable(now)
         near = [
@@ -71,10 +71,10 @@
         if not near:
             return False
         best = max(near, key=lambda k: utils.stable_hash(name, k.name))
-        return best is core.members.me
+        return best is core.members.local
 
     async def _renew_or_release(self, name, pool, authority, now):
-        if self._core.members.me.leaving:
+        if self._core.members.local.leaving:
             await self._core.run(authority.release())
             self._core.event('shard.released', name)
         else:
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -81,12 +81,12 @@
         '_rng',
         '_seeds',
         '_suspect_s',
-        'me',
+        'local',
     )
 
     def __init__(self, member, timing, rng, seeds=()):
-        self.me = PeerState(member)
-        self._by_id = {member_id(member.name): self.me}
+        self.local = PeerState(member)
+        self._by_id = {member_id(member.name): self.local}
         self._rng = rng
         self._seeds = list(seeds)
         self._suspect_s = timing.suspect_s
@@ -106,14 +106,14 @@
         """
         self._note_pause(now)
         self._last_tick = now
-        self.me.heartbeat_at = now
+        self.local.heartbeat_at = now
         self._forget(now)
         due_s = self._beat_s * (self._pace() - BEAT_SLACK)
         if now - self._last_beat < due_s:
             return []
         self._last_beat = now
         self._beats += 1
-        self.me.beat += 1
+        self.local.beat += 1
         return self._targets(now)
 
     def _pace(self):
@@ -122,7 +122,7 @@
         A digest grows with the data centre, so its rate falls, and what an
         instance sends in a second stays within bounds.
         """
-        data_centre = self.me.data_centre
+        data_centre = self.local.data_centre
         size = sum(
             1 for k in self._by_id.values() if k.data_centre == data_centre
         )
@@ -146,7 +146,7 @@
         over = [
             key
             for key, known in self._by_id.items()
-            if known is not self.me
+            if known is not self.local
             and now - known.heartbeat_at > self._forget_s
             and not known.listed
         ]
@@ -154,8 +154,8 @@
             del self._by_id[key]
 
     def _targets(self, now):
-        others = [k for k in self._by_id.values() if k is not self.me]
-        near = [k for k in others if k.data_centre == self.me.data_centre]
+        others = [k for k in self._by_id.values() if k is not self.local]
+        near = [k for k in others if k.data_centre == self.local.data_centre]
         large = self._pace() > 1
         fanout = FANOUT_IN_LARGE_DATA_CENTRES if large else FANOUT
         chosen = self._sample(near, fanout)
@@ -173,7 +173,7 @@
     def _one_of_each_data_centre(self, others):
         by_data_centre = {}
         for known in others:
-            if known.data_centre != self.me.data_centre:
+            if known.data_centre != self.local.data_centre:
                 by_data_centre.setdefault(known.data_centre, []).append(known)
         data_centres = self._sample(sorted(by_data_centre), FANOUT)
         return [
@@ -182,7 +182,7 @@
         ]
 
     def _speaks(self, now):
-        return self.me in self.speakers(self.me.data_centre, now)
+        return self.local in self.speakers(self.local.data_centre, now)
 
     def speakers(self, data_centre, now):
         """Returns the instances that act for a data centre.
@@ -202,8 +202,8 @@
         Of others a few are drawn, so that a digest grows with a data centre
         and not with all instances.
         """
-        digest = peer_pb2.Digest(sender=self.me.member)
-        near_data_centres = (self.me.data_centre, to_data_centre)
+        digest = peer_pb2.Digest(sender=self.local.member)
+        near_data_centres = (self.local.data_centre, to_data_centre)
         far = []
         for key, known in self._by_id.items():
             if key in self._asked:
@@ -235,7 +235,7 @@
             known = self._by_id.get(pulse.id)
             if known is None:
                 unknown.append(pulse.id)
-            elif known is not self.me:
+            elif known is not self.local:
                 _advance(known, pulse, now)
         return unknown
 
@@ -244,7 +244,7 @@
         known = self._by_id.get(key)
         if known is None:
             self._by_id[key] = PeerState(member)
-        elif known is not self.me and (
+        elif known is not self.local and (
             member.incarnation > known.member.incarnation
         ):
             known.member = member
@@ -273,13 +273,13 @@
 
     def leave(self):
         """Marks this instance as leaving."""
-        if self.me.leaves % 2 == 0:
-            self.me.leaves += 1
+        if self.local.leaves % 2 == 0:
+            self.local.leaves += 1
 
     def stay(self):
         """Takes the leaving mark back."""
-        if self.me.leaves % 2 == 1:
-            self.me.leaves += 1
+        if self.local.leaves % 2 == 1:
+            self.local.leaves += 1
 
     def live(self, now):
         """Returns the instances heard of recently, in order of name."""
@@ -292,7 +292,7 @@
     def _is_live(self, known, now, pace):
         """Tells whether a member was heard of; far ones take longer."""
         patience_s = self._suspect_s
-        if known.data_centre != self.me.data_centre:
+        if known.data_centre != self.local.data_centre:
             patience_s *= FAR_PATIENCE
         return now - known.heartbeat_at <= patience_s * pace
 
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -57,7 +57,7 @@
         lines = self.search.listed()
         self.members.merge_list(lines)
         self.departures.listed(line.name for line in lines)
-        self.members.me.revision = self.documents.revision
+        self.members.local.revision = self.documents.revision
         for address in self.members.tick(now):
             self.exchange(address)
 
@@ -102,7 +102,7 @@
     def _poll(self):
         self.process.soon(POLL_S, self._poll)
         now = self.now()
-        speaks = self.members.me in self.members.speakers(
+        speaks = self.members.local in self.members.speakers(
             self.data_centre, now
         )
         if speaks or now - self.polled_at > 30.0:
@@ -126,10 +126,10 @@
         """Takes over a higher revision and tells all peers."""
         if not self.documents.adopt(revision, documents):
             return
-        self.members.me.revision = self.documents.revision
+        self.members.local.revision = self.documents.revision
         self.members.tick(self.now())
         for known in self.members.live(self.now()):
-            if known is not self.members.me:
+            if known is not self.members.local:
                 self.exchange(known.member.peer_address)
 
     def handle(self, _process, request, _reply):
--- a/dandelionwinch/search/_settings.py
+++ b/dandelionwinch/search/_settings.py
@@ -176,7 +176,7 @@
 
     def _await(self, peer, watch, revision, committed_at):
         now = peer.now()
-        peer.members.me.revision = peer.documents.revision
+        peer.members.local.revision = peer.documents.revision
         members = peer.remaining()
         if watch.observe(members, now).accepted:
             self.accepted = max(self.accepted, revision)
