--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -144,7 +144,7 @@
         if wanted is None:
             return
         if wanted.state is settings.UpstreamState.ACTIVE:
-            core.members.stay()
+            core.members.cancel_leave()
         else:
             core.members.leave()
 
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -276,7 +276,7 @@
         if self.local.leaves % 2 == 0:
             self.local.leaves += 1
 
-    def stay(self):
+    def cancel_leave(self):
         """Takes the leaving mark back."""
         if self.local.leaves % 2 == 1:
             self.local.leaves += 1
