--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -285,7 +285,7 @@
         """Tells whether new work is refused for lack of contact."""
         if self.cfg.when_cut_off == 'serve':
             return False
-        data_centres = membership.staffed_data_centres(self.not_gone())
+        data_centres = membership.populated_data_centres(self.not_gone())
         return self.freshness.is_cut_off(data_centres, self.now())
 
     def leave(self):
--- a/dandelionwinch/membership/__init__.py
+++ b/dandelionwinch/membership/__init__.py
@@ -1,7 +1,7 @@
 """Which instances live, by heartbeats and the platform's list."""
 
 from dandelionwinch.membership._departures import Departures
-from dandelionwinch.membership._departures import staffed_data_centres
+from dandelionwinch.membership._departures import populated_data_centres
 from dandelionwinch.membership._freshness import Freshness
 from dandelionwinch.membership._members import PeerState
 from dandelionwinch.membership._members import member_id
@@ -13,5 +13,5 @@
     'PeerState',
     'Membership',
     'member_id',
-    'staffed_data_centres',
+    'populated_data_centres',
 ]
--- a/dandelionwinch/membership/_departures.py
+++ b/dandelionwinch/membership/_departures.py
@@ -62,6 +62,6 @@
         ]
 
 
-def staffed_data_centres(members):
+def populated_data_centres(members):
     """Returns the names of the data centres that have members."""
     return sorted({known.data_centre for known in members})
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -38,7 +38,7 @@
     def admits(self):
         """Tells whether the instance takes new work at this moment."""
         now = self.now()
-        data_centres = membership.staffed_data_centres(self.remaining())
+        data_centres = membership.populated_data_centres(self.remaining())
         return (
             self.documents.revision > 0
             and not self.members.is_suspect(now)
--- a/dandelionwinch/search/_settings.py
+++ b/dandelionwinch/search/_settings.py
@@ -168,7 +168,7 @@
         if isinstance(result, revisions.Changed):
             self._commits[result.revision] = self.world.now
             peer.fetch()
-            data_centres = membership.staffed_data_centres(peer.remaining())
+            data_centres = membership.populated_data_centres(peer.remaining())
             watch = revisions.AcceptanceWatch(
                 result.revision, data_centres, self.timing.cut_off_s
             )
