--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -30,7 +30,7 @@
         core = self._core
         listed = await core.call(core.live_list.fetch)
         if listed is None:
-            core.departures.unread()
+            core.departures.list_unavailable()
             return
         core.members.merge_list(listed)
         core.departures.listed(line.name for line in listed)
--- a/dandelionwinch/membership/_departures.py
+++ b/dandelionwinch/membership/_departures.py
@@ -28,7 +28,7 @@
         for name in self._names:
             self._absent_since.pop(name, None)
 
-    def unread(self):
+    def list_unavailable(self):
         """Notes that the list was not reached, so nothing is proved."""
         self._names = None
         self._absent_since.clear()
