--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -39,7 +39,9 @@
         core = self._core
         now = core.now()
         for known in core.members.all_instances():
-            core.departures.restarted(known.name, known.member.incarnation)
+            core.departures.saw_incarnation(
+                known.name, known.member.incarnation
+            )
         addresses = core.members.tick(now)
         core.members.local.jobs = core.work.jobs()
         core.members.local.revision = core.documents.revision
--- a/dandelionwinch/membership/_departures.py
+++ b/dandelionwinch/membership/_departures.py
@@ -33,7 +33,7 @@
         self._names = None
         self._absent_since.clear()
 
-    def restarted(self, name, incarnation):
+    def saw_incarnation(self, name, incarnation):
         """Notes the incarnation that runs under a name."""
         held = self._incarnations.get(name, 0)
         self._incarnations[name] = max(held, incarnation)
