--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -87,7 +87,7 @@
         digest = core.members.digest(now, data_centre)
         digest.asked.extend(self._unknown.pop(peer, ()))
         digest.revision = core.documents.revision
-        core.freshness.tell(digest, now)
+        core.freshness.add_ages(digest, now)
         near = data_centre in (None, core.data_centre)
         digest.loads.extend(
             core.loads.known(now, None if near else LOADS_ACROSS_DATA_CENTRES)
--- a/dandelionwinch/membership/_freshness.py
+++ b/dandelionwinch/membership/_freshness.py
@@ -57,7 +57,7 @@
         ages[self.data_centre] = 0.0
         return ages
 
-    def tell(self, digest, now):
+    def add_ages(self, digest, now):
         """Puts the ages into a digest for a peer."""
         digest.store_age_s = min(LONGEST_AGE_S, self.store_age(now))
         for data_centre, age_s in self.data_centre_ages(now).items():
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -85,7 +85,7 @@
         digest = self.members.digest(now, data_centre)
         digest.asked.extend(self.asked.pop(key, ()))
         digest.revision = self.documents.revision
-        self.freshness.tell(digest, now)
+        self.freshness.add_ages(digest, now)
         return digest
 
     def _take(self, key, digest):
