--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -67,7 +67,7 @@
     async def _poll(self):
         core = self._core
         now = core.now()
-        speaks = core.members.local in core.members.speakers(
+        speaks = core.members.local in core.members.delegates(
             core.data_centre, now
         )
         if speaks or now - self._polled_at >= core.cfg.store.poll_s:
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_members.py
@@ -182,9 +182,9 @@
         ]
 
     def _speaks(self, now):
-        return self.local in self.speakers(self.local.data_centre, now)
+        return self.local in self.delegates(self.local.data_centre, now)
 
-    def speakers(self, data_centre, now):
+    def delegates(self, data_centre, now):
         """Returns the instances that act for a data centre.
 
         They watch the store's configuration and talk to other data centres.
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -102,7 +102,7 @@
     def _poll(self):
         self.process.soon(POLL_S, self._poll)
         now = self.now()
-        speaks = self.members.local in self.members.speakers(
+        speaks = self.members.local in self.members.delegates(
             self.data_centre, now
         )
         if speaks or now - self.polled_at > 30.0:
