--- a/dandelionwinch/control/__init__.py
+++ b/dandelionwinch/control/__init__.py
@@ -4,7 +4,7 @@
 from dandelionwinch.control._instance import Instance
 from dandelionwinch.control._members import Members
 from dandelionwinch.control._registration import Registration
-from dandelionwinch.control._store import Catalogue
+from dandelionwinch.control._store import StoreCodec
 from dandelionwinch.control._store import Conflict
 from dandelionwinch.control._store import EntryInvalid
 from dandelionwinch.control._store import HistoryGone
@@ -17,7 +17,7 @@
 from dandelionwinch.control._sync import Sync
 
 __all__ = [
-    'Catalogue',
+    'StoreCodec',
     'Conflict',
     'EntryInvalid',
     'HistoryGone',
--- a/dandelionwinch/control/_store.py
+++ b/dandelionwinch/control/_store.py
@@ -82,7 +82,7 @@
         """Writes a key and returns the revision, or raises Conflict."""
 
 
-class Catalogue(typing.Protocol):
+class StoreCodec(typing.Protocol):
     """Reads what operators and upstreams write into the store.
 
     Attributes:
--- a/dandelionwinch/platform/_catalogue.py
+++ b/dandelionwinch/platform/_catalogue.py
@@ -184,7 +184,7 @@
     return value_ms / 1e3 if value_ms else default_s
 
 
-class Catalogue:
+class StoreCodec:
     """Keys and values of the platform in the product's types."""
 
     __slots__ = ()
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -32,7 +32,7 @@
             cfg,
             _store.Store(loop, cfg.store),
             _dialect.Dialect(),
-            _catalogue.Catalogue(),
+            _catalogue.StoreCodec(),
             log,
         )
         add = self.instance.add_server
