--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -7,7 +7,7 @@
 from dandelionwinch.gateway._connection import read_whole
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
-from dandelionwinch.gateway._inquiry import Dialect
+from dandelionwinch.gateway._inquiry import WireCodec
 from dandelionwinch.gateway._inquiry import Inquiry
 from dandelionwinch.gateway._inquiry import Reply
 from dandelionwinch.gateway._inquiry import Sending
@@ -18,7 +18,7 @@
 __all__ = [
     'BadMessage',
     'ConnectionLost',
-    'Dialect',
+    'WireCodec',
     'Fleet',
     'Gateway',
     'Head',
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -64,7 +64,7 @@
     signed: bool
 
 
-class Dialect(typing.Protocol):
+class WireCodec(typing.Protocol):
     """Translates between HTTP messages and the gateway's types."""
 
     def read(self, head, body):
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -38,7 +38,7 @@
 )
 
 
-class Dialect:
+class WireCodec:
     """The platform's headers in the gateway's types."""
 
     __slots__ = ()
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -31,7 +31,7 @@
             loop,
             cfg,
             _store.Store(loop, cfg.store),
-            _dialect.Dialect(),
+            _dialect.WireCodec(),
             _catalogue.StoreCodec(),
             log,
         )
