--- a/dandelionwinch/control/__init__.py
+++ b/dandelionwinch/control/__init__.py
@@ -14,7 +14,7 @@
 from dandelionwinch.control._store import Store
 from dandelionwinch.control._store import StoreFailed
 from dandelionwinch.control._store import StoreRefused
-from dandelionwinch.control._sync import Sync
+from dandelionwinch.control._sync import StoreSync
 
 __all__ = [
     'StoreCodec',
@@ -31,5 +31,5 @@
     'Store',
     'StoreFailed',
     'StoreRefused',
-    'Sync',
+    'StoreSync',
 ]
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -32,7 +32,7 @@
         self.log = log or eventlog.EventLog(cfg.instance)
         self._rng = rng = random.Random()
         self._gateway = gateway.Gateway(loop, dialect, self.log, cfg, rng)
-        self._sync = _sync.Sync(
+        self._sync = _sync.StoreSync(
             loop,
             store,
             catalogue,
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -18,7 +18,7 @@
 MAX_BACKOFF_S = 1.5
 
 
-class Sync:
+class StoreSync:
     """A task that owns what is known from the store."""
 
     __slots__ = (
