--- a/dandelionwinch/control/_config.py
+++ b/dandelionwinch/control/_config.py
@@ -44,7 +44,7 @@
     retry_slack: float
     retry_window_s: float
     least_lease_s: float
-    turn_s: float
+    handover_s: float
     max_ttl_s: float
     findings: tuple[str, ...] = ()
 
--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -25,7 +25,7 @@
         token: Fencing token, 0 while this instance is not the holder.
     """
 
-    turn_s: float
+    handover_s: float
     token: int = 0
     _renewed_at: float = float('-inf')
     _taken_at: float = float('-inf')
@@ -58,5 +58,5 @@
         """Tells whether an order may be sent at this moment."""
         if not self.held or now - self._renewed_at > RELY_S:
             return False
-        quiet_s = RELY_S + self.turn_s + MARGIN_S
+        quiet_s = RELY_S + self.handover_s + MARGIN_S
         return now - self._taken_at >= quiet_s
