--- a/dandelionwinch/control/_config.py
+++ b/dandelionwinch/control/_config.py
@@ -43,7 +43,7 @@
     retry_ratio: float
     retry_slack: float
     retry_window_s: float
-    least_lease_s: float
+    min_lease_s: float
     handover_s: float
     max_ttl_s: float
     findings: tuple[str, ...] = ()
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -54,7 +54,7 @@
             store,
             self.log,
             self._presence,
-            max(_registration.LEASE_S, cfg.least_lease_s),
+            max(_registration.LEASE_S, cfg.min_lease_s),
         )
         self._steward = _steward.Steward(
             loop,
--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_steward.py
@@ -54,7 +54,7 @@
         self._log = log
         self._rng = rng
         self._name = cfg.instance
-        self._ttl_s = max(leadership.LEASE_S, cfg.least_lease_s)
+        self._ttl_s = max(leadership.LEASE_S, cfg.min_lease_s)
         self._leadership = leadership.Leadership(cfg.handover_s)
         self._lease = 0
         self._next_at = 0.0
