--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -72,7 +72,9 @@
             return
         await self.take(address, reply)
         if reply.revision <= core.documents.revision:
-            core.freshness.heard(reply.sender.data_centre, asked_at, reply)
+            core.freshness.merge_ages(
+                reply.sender.data_centre, asked_at, reply
+            )
 
     def digest(self, peer, data_centre):
         """Makes the digest for a peer.
--- a/dandelionwinch/membership/_freshness.py
+++ b/dandelionwinch/membership/_freshness.py
@@ -26,7 +26,7 @@
         """Notes a read of the newest revision, by its start time."""
         self._store_at = max(self._store_at, asked_at)
 
-    def heard(self, data_centre, asked_at, digest):
+    def merge_ages(self, data_centre, asked_at, digest):
         """Notes a peer's reply.
 
         Args:
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -76,7 +76,9 @@
 
     def _note(self, asked_at, address, reply):
         if reply.revision <= self.documents.revision:
-            self.freshness.heard(reply.sender.data_centre, asked_at, reply)
+            self.freshness.merge_ages(
+                reply.sender.data_centre, asked_at, reply
+            )
         else:
             self.search.pull(self, address)
 
