--- a/dandelionwinch/bench/_takeover.py
+++ b/dandelionwinch/bench/_takeover.py
@@ -62,7 +62,7 @@
     now[0] = step_s * rng.random()
     while True:
         listed = ['b'] if now[0] > died_at + LIST_LAG_S else ['a', 'b']
-        departures.listed(listed)
+        departures.list_read(listed)
         result = run(second.acquire(fenced, departures.is_gone))
         if isinstance(result, orders.Owned):
             return now[0] - died_at
--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -33,7 +33,7 @@
             core.departures.list_unavailable()
             return
         core.members.merge_list(listed)
-        core.departures.listed(line.name for line in listed)
+        core.departures.list_read(line.name for line in listed)
 
     async def _beat(self):
         core = self._core
--- a/dandelionwinch/membership/_departures.py
+++ b/dandelionwinch/membership/_departures.py
@@ -18,7 +18,7 @@
         self._absent_since = {}
         self._incarnations = {}
 
-    def listed(self, names):
+    def list_read(self, names):
         """Takes in a list that was read.
 
         Args:
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -152,7 +152,7 @@
 
     def _resolve(self):
         self.process.soon(RESOLVE_S, self._resolve)
-        self.departures.listed(self.search.platform.read())
+        self.departures.list_read(self.search.platform.read())
         self.process.run(_read_bucket(), self._resolve_all)
 
     def _resolve_all(self, bucket):
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -82,7 +82,7 @@
     def _lead(self):
         process = self.process
         process.soon(_TIMING.lease_s / 4, self._lead)
-        self.departures.listed(self.search.platform.read())
+        self.departures.list_read(self.search.platform.read())
         if self.leaving:
             process.run(self.authority.release())
         else:
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -56,7 +56,7 @@
         now = self.now()
         lines = self.search.listed()
         self.members.merge_list(lines)
-        self.departures.listed(line.name for line in lines)
+        self.departures.list_read(line.name for line in lines)
         self.members.local.revision = self.documents.revision
         for address in self.members.tick(now):
             self.exchange(address)
