--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -25,13 +25,13 @@
         log: The EventLog.
     """
 
-    def __init__(self, loop, cfg, store, dialect, catalogue, log=None):
+    def __init__(self, loop, cfg, store, wire_codec, catalogue, log=None):
         self._loop = loop
         self._cfg = cfg
         self._store = store
         self.log = log or eventlog.EventLog(cfg.instance)
         self._rng = rng = random.Random()
-        self._gateway = gateway.Gateway(loop, dialect, self.log, cfg, rng)
+        self._gateway = gateway.Gateway(loop, wire_codec, self.log, cfg, rng)
         self._sync = _sync.StoreSync(
             loop,
             store,
@@ -61,7 +61,7 @@
             store,
             self._sync,
             self._gateway,
-            _orders.OrderSender(self._gateway.fleet, dialect, cfg.instance),
+            _orders.OrderSender(self._gateway.fleet, wire_codec, cfg.instance),
             self.log,
             rng,
             cfg,
--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -31,9 +31,9 @@
 
     __slots__ = ('_dialect', '_fleet', '_name')
 
-    def __init__(self, fleet, dialect, name):
+    def __init__(self, fleet, wire_codec, name):
         self._fleet = fleet
-        self._dialect = dialect
+        self._dialect = wire_codec
         self._name = name
 
     async def send(self, belief, change, token, may_order):
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -41,10 +41,10 @@
 
     __slots__ = ('_conn', '_deadline', '_dialect', '_inquiry', '_loop')
 
-    def __init__(self, loop, conn, dialect, inquiry, deadline):
+    def __init__(self, loop, conn, wire_codec, inquiry, deadline):
         self._loop = loop
         self._conn = conn
-        self._dialect = dialect
+        self._dialect = wire_codec
         self._inquiry = inquiry
         self._deadline = deadline
 
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -171,7 +171,7 @@
             wait_s = RETRY_AFTER_S + self._gateway.rng.random() * (
                 RETRY_SPREAD_S
             )
-            headers = self._gateway.dialect.come_back(wait_s)
+            headers = self._gateway.wire_codec.come_back(wait_s)
         self.outcome = status.name.lower()
         self._caller.answer(int(status), headers, reason.encode())
         self._gateway.closed(self, int(status), reason)
@@ -278,7 +278,7 @@
             yield _conversation.Conversation(
                 self._loop,
                 conn,
-                self._gateway.dialect,
+                self._gateway.wire_codec,
                 self._inquiry,
                 self._deadline,
             )
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -22,7 +22,7 @@
         '_sweeper',
         'active',
         'budget',
-        'dialect',
+        'wire_codec',
         'distances',
         'fleet',
         'log',
@@ -32,9 +32,9 @@
         'rng',
     )
 
-    def __init__(self, loop, dialect, log, cfg, rng=None):
+    def __init__(self, loop, wire_codec, log, cfg, rng=None):
         self.loop = loop
-        self.dialect = dialect
+        self.wire_codec = wire_codec
         self.log = log
         self.rng = rng or random.Random()
         self.distances = dispatch.Distances(cfg.data_centre, cfg.regions)
@@ -78,14 +78,14 @@
         head = incoming.head
         table = self.fleet.table
         if table is None:
-            headers = self.dialect.come_back(NO_ROUTES_RETRY_S)
+            headers = self.wire_codec.come_back(NO_ROUTES_RETRY_S)
             self._refuse(caller, incoming, 503, 'no routes yet', headers)
             return
         route = table.match(head.header('host'), head.path)
         if route is None:
             self._refuse(caller, incoming, 404, 'no route matches')
             return
-        inquiry = self.dialect.read(head, bytes(incoming.body))
+        inquiry = self.wire_codec.read(head, bytes(incoming.body))
         kind = _call.Call
         if route.streaming and inquiry.prompt is not None:
             kind = _generation.Generation
