--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -25,7 +25,7 @@
         log: The EventLog.
     """
 
-    def __init__(self, loop, cfg, store, wire_codec, catalogue, log=None):
+    def __init__(self, loop, cfg, store, wire_codec, store_codec, log=None):
         self._loop = loop
         self._cfg = cfg
         self._store = store
@@ -35,7 +35,7 @@
         self._sync = _sync.StoreSync(
             loop,
             store,
-            catalogue,
+            store_codec,
             self._gateway,
             cfg.capacity,
             self.log,
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -40,11 +40,11 @@
     )
 
     def __init__(
-        self, loop, store, catalogue, served, capacity, log, rng, on_config
+        self, loop, store, store_codec, served, capacity, log, rng, on_config
     ):
         self._loop = loop
         self._store = store
-        self._catalogue = catalogue
+        self._catalogue = store_codec
         self._gateway = served
         self._capacity = capacity
         self._log = log
