--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -29,11 +29,11 @@
 class OrderSender:
     """Sends orders of one instance."""
 
-    __slots__ = ('_dialect', '_fleet', '_name')
+    __slots__ = ('_wire_codec', '_fleet', '_name')
 
     def __init__(self, fleet, wire_codec, name):
         self._fleet = fleet
-        self._dialect = wire_codec
+        self._wire_codec = wire_codec
         self._name = name
 
     async def send(self, belief, change, token, may_order):
@@ -54,7 +54,7 @@
             if accepted is None:
                 return Sent(0, 'the engine is busy')
             request = gateway.request_bytes(
-                *self._dialect.order(change, self._name, token, accepted)
+                *self._wire_codec.order(change, self._name, token, accepted)
             )
             conn = await pool.take(ORDER_TIMEOUT_S)
             try:
@@ -72,7 +72,7 @@
     async def _accepted(self, pool, upstream_id):
         """Returns the number of orders that an engine has accepted."""
         request = gateway.request_bytes(
-            *self._dialect.report(upstream_id), b''
+            *self._wire_codec.report(upstream_id), b''
         )
         conn = await pool.take(ORDER_TIMEOUT_S)
         try:
@@ -80,4 +80,4 @@
             _head, body = await gateway.read_whole(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
-        return self._dialect.accepted_orders(body)
+        return self._wire_codec.accepted_orders(body)
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -39,12 +39,12 @@
 class Conversation:
     """Sends a request and reads its answer; other answers are skipped."""
 
-    __slots__ = ('_conn', '_deadline', '_dialect', '_inquiry', '_loop')
+    __slots__ = ('_conn', '_deadline', '_wire_codec', '_inquiry', '_loop')
 
     def __init__(self, loop, conn, wire_codec, inquiry, deadline):
         self._loop = loop
         self._conn = conn
-        self._dialect = wire_codec
+        self._wire_codec = wire_codec
         self._inquiry = inquiry
         self._deadline = deadline
 
@@ -75,7 +75,7 @@
     def send(self, sending):
         """Sends the request."""
         inquiry = self._inquiry
-        headers = self._dialect.headers(inquiry, sending)
+        headers = self._wire_codec.headers(inquiry, sending)
         data = _codec.request_bytes(
             inquiry.method, inquiry.target, headers, inquiry.body
         )
@@ -89,7 +89,7 @@
             head = await self.item(left_s)
             while not isinstance(head, _codec.Head):
                 head = await self.item(left_s)
-            reply = self._dialect.reply(head)
+            reply = self._wire_codec.reply(head)
             if reply.request_id == self._inquiry.id:
                 return head
             if not reply.request_id:
@@ -114,7 +114,7 @@
 
     def check_executed(self, answer):
         """Raises AttemptFailed unless the upstream vouches for an answer."""
-        reply = self._dialect.reply(answer.head)
+        reply = self._wire_codec.reply(answer.head)
         status = answer.head.status
         if reply.not_executed or status == MISDIRECTED:
             raise AttemptFailed(
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -13,7 +13,7 @@
 from dandelionwinch import control
 from dandelionwinch.platform import _boot
 from dandelionwinch.platform import _catalogue
-from dandelionwinch.platform import _dialect
+from dandelionwinch.platform import _wire_codec
 from dandelionwinch.platform import _store
 
 METRICS_PORT = 9464
@@ -31,7 +31,7 @@
             loop,
             cfg,
             _store.Store(loop, cfg.store),
-            _dialect.WireCodec(),
+            _wire_codec.WireCodec(),
             _catalogue.StoreCodec(),
             log,
         )
--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -4,15 +4,15 @@
 
 from dandelionwinch.platform import _boot
 from dandelionwinch.platform import _catalogue
-from dandelionwinch.platform import _dialect
+from dandelionwinch.platform import _wire_codec
 from dandelionwinch import routes
 
 SETTINGS_VARIABLE = _boot.VARIABLE
 CONFIG_KEY = _catalogue.CONFIG_KEY
-REQUEST_ID = _dialect.REQUEST_ID
-TARGET = _dialect.TARGET
-LAST_EVENT_ID = _dialect.LAST_EVENT_ID
-TOKEN_USAGE = _dialect.TOKEN_USAGE
+REQUEST_ID = _wire_codec.REQUEST_ID
+TARGET = _wire_codec.TARGET
+LAST_EVENT_ID = _wire_codec.LAST_EVENT_ID
+TOKEN_USAGE = _wire_codec.TOKEN_USAGE
 
 SETTINGS = """
 nodeName = "{name}"
@@ -156,13 +156,13 @@
         f'POST {target} HTTP/1.1',
         'Host: desk',
         f'{REQUEST_ID}: {request_id}',
-        f'{_dialect.TIMEOUT_MS}: {timeout_ms}',
+        f'{_wire_codec.TIMEOUT_MS}: {timeout_ms}',
         'Content-Length: 2',
     ]
     if prompt is not None:
         parts = ','.join(f'{n:x}:{size}' for n, size in enumerate(prompt))
         lines.append(f'{TOKEN_USAGE}: {sum(prompt)},80')
-        lines.append(f'{_dialect.PROMPT_PREFIX}: {parts}')
+        lines.append(f'{_wire_codec.PROMPT_PREFIX}: {parts}')
     lines += [f'{name}: {value}' for name, value in more]
     return '\r\n'.join(lines).encode() + b'\r\n\r\n{}'
 
@@ -194,7 +194,7 @@
     if request_id:
         lines.append(f'{REQUEST_ID}: {request_id}')
     if signed:
-        lines.append(f'{_dialect.SIGNATURE}: sig')
+        lines.append(f'{_wire_codec.SIGNATURE}: sig')
     if framing:
         lines.append(framing)
     return ('\r\n'.join(lines) + f'\r\n{more}\r\n').encode()
@@ -203,7 +203,7 @@
 def refusal(status='503 Service Unavailable', more=''):
     """Returns an upstream's answer that it did not run a request."""
     return (
-        f'HTTP/1.1 {status}\r\n{_dialect.NOT_EXECUTED}: 1\r\n{more}'
+        f'HTTP/1.1 {status}\r\n{_wire_codec.NOT_EXECUTED}: 1\r\n{more}'
         'Content-Length: 0\r\n\r\n'
     ).encode()
 
