--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -205,7 +205,7 @@
 
         def send():
             # The lease is checked last, right before the send.
-            if time.monotonic() >= authority.until:
+            if time.monotonic() >= authority.expires_at:
                 return None
             return core.upstreams.order(upstream.address, order)
 
--- a/dandelionwinch/orders/_authority.py
+++ b/dandelionwinch/orders/_authority.py
@@ -14,7 +14,7 @@
     """Result: this instance holds the shard until the deadline."""
 
     shard: _shard.Shard
-    until: float
+    expires_at: float
 
 
 @attrs.frozen
@@ -76,7 +76,7 @@
         return self.shard is not None and now < self._deadline
 
     @property
-    def until(self):
+    def expires_at(self):
         """Time at which the lease ends for this instance."""
         return self._deadline
 
