--- a/dandelionwinch/control/_members.py
+++ b/dandelionwinch/control/_members.py
@@ -10,7 +10,7 @@
 SHRUNK_SHARE = 0.8
 
 
-class Members:
+class RegisteredInstances:
     """Instances by their entries in the store.
 
     Attributes:
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -55,7 +55,7 @@
         self._synced = False
         self._reached_at = float('-inf')
         self.holder = ''
-        self.members = _members.Members()
+        self.members = _members.RegisteredInstances()
         self.on_config = on_config
 
     def start(self):
