--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -167,7 +167,7 @@
     return '\r\n'.join(lines).encode() + b'\r\n\r\n{}'
 
 
-def question(data_centre, region):
+def resolve_request(data_centre, region):
     """Returns the bytes of a caller's question where to connect."""
     target = f'/-/resolve?name=desk&region={region}&zone={data_centre}'
     return (
--- a/dandelionwinch/soak/_caller.py
+++ b/dandelionwinch/soak/_caller.py
@@ -117,7 +117,7 @@
                     reader, writer = await asyncio.open_connection(
                         host, int(port)
                     )
-                    writer.write(samples.question('a', 'north'))
+                    writer.write(samples.resolve_request('a', 'north'))
                     status, _headers, body = await _answer(reader)
                     writer.close()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
