--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -175,7 +175,7 @@
     ).encode()
 
 
-def answered_addresses(body):
+def resolved_addresses(body):
     """Returns the addresses of an answer to that question."""
     return json.loads(body)['addresses']
 
--- a/dandelionwinch/soak/_caller.py
+++ b/dandelionwinch/soak/_caller.py
@@ -123,7 +123,7 @@
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 continue
             if status == 200:
-                self._addresses = samples.answered_addresses(body)
+                self._addresses = samples.resolved_addresses(body)
                 self._asked_at = loop.time()
                 return
 
