--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -180,7 +180,9 @@
     return json.loads(body)['addresses']
 
 
-def answer_head(request_id, framing='', status='200 OK', more='', signed=True):
+def response_head(
+    request_id, framing='', status='200 OK', more='', signed=True
+):
     """Returns the head of an upstream's answer.
 
     Args:
--- a/dandelionwinch/soak/_upstream.py
+++ b/dandelionwinch/soak/_upstream.py
@@ -103,7 +103,7 @@
     def _whole(writer, request_id, fault):
         body = f'answer to {request_id}'.encode()
         data = (
-            samples.answer_head(request_id, f'Content-Length: {len(body)}')
+            samples.response_head(request_id, f'Content-Length: {len(body)}')
             + body
         )
         if fault == 'truncate':
@@ -117,7 +117,7 @@
         request_id = headers[samples.REQUEST_ID]
         first = int(headers.get(samples.LAST_EVENT_ID, 0)) + 1
         writer.write(
-            samples.answer_head(request_id, 'Transfer-Encoding: chunked')
+            samples.response_head(request_id, 'Transfer-Encoding: chunked')
         )
         for number in range(first, EVENTS + 1):
             data = f'id: {number}\ndata: {request_id}\n\n'.encode()
