--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -85,7 +85,7 @@
         if route is None:
             self._refuse(caller, incoming, 404, 'no route matches')
             return
-        inquiry = self.wire_codec.read(head, bytes(incoming.body))
+        inquiry = self.wire_codec.parse_request(head, bytes(incoming.body))
         kind = _call.Call
         if route.streaming and inquiry.prompt is not None:
             kind = _generation.Generation
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -67,7 +67,7 @@
 class WireCodec(typing.Protocol):
     """Translates between HTTP messages and the gateway's types."""
 
-    def read(self, head, body):
+    def parse_request(self, head, body):
         """Returns the Inquiry of a request, or raises BadRequest."""
 
     def headers(self, inquiry, sending):
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -43,7 +43,7 @@
 
     __slots__ = ()
 
-    def read(self, head, body):
+    def parse_request(self, head, body):
         """Returns the Inquiry of a caller's request.
 
         Raises:
