--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -89,7 +89,7 @@
             head = await self.item(left_s)
             while not isinstance(head, _codec.Head):
                 head = await self.item(left_s)
-            reply = self._wire_codec.reply(head)
+            reply = self._wire_codec.parse_reply(head)
             if reply.request_id == self._inquiry.id:
                 return head
             if not reply.request_id:
@@ -114,7 +114,7 @@
 
     def check_executed(self, answer):
         """Raises AttemptFailed unless the upstream vouches for an answer."""
-        reply = self._wire_codec.reply(answer.head)
+        reply = self._wire_codec.parse_reply(answer.head)
         status = answer.head.status
         if reply.not_executed or status == MISDIRECTED:
             raise AttemptFailed(
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -88,7 +88,7 @@
             patience_s = PREFILL_SILENCE_FACTOR * self._route.objective_s
         head = await talk.head(patience_s)
         body = await talk.body(patience_s)
-        reply = self._gateway.wire_codec.reply(head)
+        reply = self._gateway.wire_codec.parse_reply(head)
         handle = self._gateway.wire_codec.handle(body)
         if head.status != 200 or not handle:
             fate = attempts.Fate.UNKNOWN
@@ -141,7 +141,7 @@
         talk.send(sending)
         patience_s = self._patience_s()
         head = await talk.head(patience_s)
-        reply = self._gateway.wire_codec.reply(head)
+        reply = self._gateway.wire_codec.parse_reply(head)
         if head.status != 200 or not reply.signed or reply.not_executed:
             await self._whole_failure(talk, head, placement.decode, patience_s)
             return
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -73,7 +73,7 @@
     def request_headers(self, inquiry, sending):
         """Returns the headers of a request to an upstream, as pairs."""
 
-    def reply(self, head):
+    def parse_reply(self, head):
         """Returns the Reply of a response head."""
 
     def handle(self, body):
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -82,7 +82,7 @@
             pairs.append((KV_SOURCE, sending.source))
         return pairs
 
-    def reply(self, head):
+    def parse_reply(self, head):
         """Returns the Reply of a response head."""
         return gateway.Reply(
             head.header(REQUEST_ID),
