--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -90,7 +90,7 @@
             bool(head.header(SIGNATURE)),
         )
 
-    def handle(self, body):
+    def kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
         try:
             value = json.loads(body)
