--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -54,7 +54,9 @@
             if accepted is None:
                 return Sent(0, 'the engine is busy')
             request = gateway.request_bytes(
-                *self._wire_codec.order(change, self._name, token, accepted)
+                *self._wire_codec.order_request(
+                    change, self._name, token, accepted
+                )
             )
             conn = await pool.take(ORDER_TIMEOUT_S)
             try:
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -99,7 +99,7 @@
         handle = value.get('kvHandle') if isinstance(value, dict) else None
         return handle if isinstance(handle, str) else ''
 
-    def order(self, role_order, holder, token, sequence):
+    def order_request(self, role_order, holder, token, sequence):
         """Returns method, path, headers and body of an order."""
         body = {
             'op': 'phase',
