--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -74,7 +74,7 @@
     async def _accepted(self, pool, upstream_id):
         """Returns the number of orders that an engine has accepted."""
         request = gateway.request_bytes(
-            *self._wire_codec.report(upstream_id), b''
+            *self._wire_codec.report_request(upstream_id), b''
         )
         conn = await pool.take(ORDER_TIMEOUT_S)
         try:
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -115,7 +115,7 @@
         ]
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
-    def report(self, upstream_id):
+    def report_request(self, upstream_id):
         """Returns method, path and headers of a question for a report."""
         headers = [('Host', 'engine'), (TARGET, upstream_id)]
         return 'GET', '/-/report', headers
