--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_orders.py
@@ -82,4 +82,4 @@
             _head, body = await gateway.read_whole(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
-        return self._wire_codec.accepted_orders(body)
+        return self._wire_codec.accepted_order_count(body)
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -120,7 +120,7 @@
         headers = [('Host', 'engine'), (TARGET, upstream_id)]
         return 'GET', '/-/report', headers
 
-    def accepted_orders(self, body):
+    def accepted_order_count(self, body):
         """Returns the number of orders a report counts, None if busy.
 
         The `sequence` of an entry in the store counts heartbeats; only
