--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -1,10 +1,10 @@
 """Authority over upstreams, and orders that outlive their sender."""
 
-from dandelionwinch.orders._authority import ShardLease
-from dandelionwinch.orders._authority import Lost
-from dandelionwinch.orders._authority import Owned
-from dandelionwinch.orders._authority import RENEWALS_PER_LEASE
-from dandelionwinch.orders._authority import Waiting
+from dandelionwinch.orders._lease import ShardLease
+from dandelionwinch.orders._lease import Lost
+from dandelionwinch.orders._lease import Owned
+from dandelionwinch.orders._lease import RENEWALS_PER_LEASE
+from dandelionwinch.orders._lease import Waiting
 from dandelionwinch.orders._conduct import OrderExecutor
 from dandelionwinch.orders._conduct import HoldState
 from dandelionwinch.orders._conduct import HoldUpstream
--- a/dandelionwinch/orders/_conduct.py
+++ b/dandelionwinch/orders/_conduct.py
@@ -111,10 +111,10 @@
     numbers, the next order waits until no copy can be under way.
     """
 
-    __slots__ = ('_authority', '_closed_seen', '_settle_s')
+    __slots__ = ('_lease', '_closed_seen', '_settle_s')
 
     def __init__(self, authority, settle_s):
-        self._authority = authority
+        self._lease = authority
         self._settle_s = settle_s
         self._closed_seen = {}
 
@@ -128,7 +128,7 @@
         Returns:
             Progress.
         """
-        shard = self._authority.shard
+        shard = self._lease.shard
         if shard is None:
             return Progress()
         order = shard.open_order(upstream.name)
@@ -153,7 +153,7 @@
             )
             return attrs.evolve(held.with_order(order), epoch=epoch)
 
-        written = yield from self._authority.update(add)
+        written = yield from self._lease.update(add)
         if written is None:
             return Progress(reason='the order was not written')
         return Progress('order.written', order_id=wish.order_id)
@@ -205,7 +205,7 @@
             closed = held.with_order(attrs.evolve(last, state=state))
             return attrs.evolve(closed, epoch=max(held.epoch, epoch))
 
-        written = yield from self._authority.update(close)
+        written = yield from self._lease.update(close)
         if written is None:
             return Progress(reason='not recorded yet', order_id=order.id)
         yield ReleaseHold(order.upstream, order.id)
