--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -24,7 +24,7 @@
     __slots__ = (
         '_absence',
         '_capacity',
-        '_catalogue',
+        '_store_codec',
         '_gateway',
         '_log',
         '_loop',
@@ -44,7 +44,7 @@
     ):
         self._loop = loop
         self._store = store
-        self._catalogue = store_codec
+        self._store_codec = store_codec
         self._gateway = served
         self._capacity = capacity
         self._log = log
@@ -128,7 +128,7 @@
                 belief.entry.id
                 for belief in self._gateway.fleet.beliefs
                 if belief.gone_at is None
-                and self._catalogue.key_of(belief.entry.id) not in keys
+                and self._store_codec.key_of(belief.entry.id) not in keys
             ],
             now,
         )
@@ -146,7 +146,7 @@
         self._reached()
         gone = []
         for item in listing.items:
-            upstream_id = self._catalogue.upstream_of(item.key)
+            upstream_id = self._store_codec.upstream_of(item.key)
             if upstream_id is not None and item.value is None:
                 gone.append(upstream_id)
                 continue
@@ -164,8 +164,8 @@
         return min(MAX_COALESCE_S, COALESCE_S + INSTANCE_S * instances)
 
     def _apply(self, item, now):
-        upstream_id = self._catalogue.upstream_of(item.key)
-        if item.key == self._catalogue.config_key:
+        upstream_id = self._store_codec.upstream_of(item.key)
+        if item.key == self._store_codec.config_key:
             self._apply_config(item)
         elif upstream_id is not None:
             self._apply_upstream(upstream_id, item, now)
@@ -198,7 +198,7 @@
         if item.value is None:
             return
         try:
-            table = self._catalogue.read_config(item.value)
+            table = self._store_codec.read_config(item.value)
         except _store.EntryInvalid as exc:
             self._log.event('config.invalid', finding=exc.message)
             return
@@ -214,7 +214,7 @@
     def _apply_upstream(self, name, item, now):
         beliefs = self._gateway.fleet.beliefs
         try:
-            entry = self._catalogue.read_upstream(name, item.value)
+            entry = self._store_codec.read_upstream(name, item.value)
         except _store.EntryInvalid as exc:
             self._log.event('upstream.invalid', finding=exc.message)
             beliefs.remove(name, now)
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -12,7 +12,7 @@
 
 from dandelionwinch import control
 from dandelionwinch.platform import _boot
-from dandelionwinch.platform import _catalogue
+from dandelionwinch.platform import _store_codec
 from dandelionwinch.platform import _wire_codec
 from dandelionwinch.platform import _store
 
@@ -32,7 +32,7 @@
             cfg,
             _store.Store(loop, cfg.store),
             _wire_codec.WireCodec(),
-            _catalogue.StoreCodec(),
+            _store_codec.StoreCodec(),
             log,
         )
         add = self.instance.add_server
--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -3,12 +3,12 @@
 import json
 
 from dandelionwinch.platform import _boot
-from dandelionwinch.platform import _catalogue
+from dandelionwinch.platform import _store_codec
 from dandelionwinch.platform import _wire_codec
 from dandelionwinch import routes
 
 SETTINGS_VARIABLE = _boot.VARIABLE
-CONFIG_KEY = _catalogue.CONFIG_KEY
+CONFIG_KEY = _store_codec.CONFIG_KEY
 REQUEST_ID = _wire_codec.REQUEST_ID
 TARGET = _wire_codec.TARGET
 LAST_EVENT_ID = _wire_codec.LAST_EVENT_ID
@@ -94,7 +94,7 @@
 
 def entry_key(upstream_id):
     """Returns the key of an upstream's entry."""
-    return _catalogue.UPSTREAM_PREFIX + upstream_id
+    return _store_codec.UPSTREAM_PREFIX + upstream_id
 
 
 def entry(**changes):
