--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -6,7 +6,7 @@
 from dandelionwinch import addresses
 from dandelionwinch.control import _orders
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _steward
+from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _sync
 from dandelionwinch import eventlog
 from dandelionwinch import gateway
@@ -56,7 +56,7 @@
             self._presence,
             max(_registration.LEASE_S, cfg.min_lease_s),
         )
-        self._steward = _steward.Steward(
+        self._order_leader = _order_leader.Steward(
             loop,
             store,
             self._sync,
@@ -119,7 +119,7 @@
         if not self._registered and not self._stopping:
             self._registered = True
             self._registration.start()
-            self._steward.start()
+            self._order_leader.start()
 
     @property
     def ready(self):
@@ -153,7 +153,7 @@
         """Ends a planned stop once nothing is left, or time is over."""
         began = self._loop.time()
         self._loop.create_task(self._registration.withdraw())
-        self._loop.create_task(self._steward.resign())
+        self._loop.create_task(self._order_leader.resign())
         self._callers.drain()
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
@@ -173,7 +173,7 @@
         """Stops all tasks and closes all sockets."""
         self._sync.close()
         self._registration.close()
-        self._steward.close()
+        self._order_leader.close()
         self._gateway.close()
         if self._flusher is not None:
             self._flusher.cancel()
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -5,7 +5,7 @@
 
 from dandelionwinch.control import _members
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _steward
+from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _store
 from dandelionwinch import upstreams
 
@@ -117,7 +117,7 @@
         self._revision = listing.revision
         self._reached()
         keys = {item.key for item in listing.items}
-        if _steward.HOLDER_KEY not in keys:
+        if _order_leader.HOLDER_KEY not in keys:
             self.holder = ''
         # Announced changes are judged by the entries of their engines.
         ordered = sorted(listing.items, key=_is_change)
@@ -171,9 +171,9 @@
             self._apply_upstream(upstream_id, item, now)
         elif item.key.startswith(_registration.INSTANCE_PREFIX):
             self._apply_instance(item)
-        elif item.key == _steward.HOLDER_KEY:
+        elif item.key == _order_leader.HOLDER_KEY:
             self.holder = (item.value or b'').decode(errors='replace')
-        elif item.key == _steward.SIZE_KEY:
+        elif item.key == _order_leader.SIZE_KEY:
             self._apply_size(item)
         elif _is_change(item):
             self._apply_change(item)
@@ -186,12 +186,12 @@
     def _apply_change(self, item):
         if item.value is None:
             return
-        name = item.key.removeprefix(_steward.CHANGE_PREFIX)
+        name = item.key.removeprefix(_order_leader.CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
         belief = self._gateway.fleet.beliefs.get(name)
         if belief is None or belief.entry.role.value == role:
             return
-        self._gateway.changing(name, _steward.CHANGE_S)
+        self._gateway.changing(name, _order_leader.CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
@@ -278,4 +278,4 @@
 
 
 def _is_change(item):
-    return item.key.startswith(_steward.CHANGE_PREFIX)
+    return item.key.startswith(_order_leader.CHANGE_PREFIX)
