--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -56,7 +56,7 @@
             self._presence,
             max(_registration.LEASE_S, cfg.min_lease_s),
         )
-        self._order_leader = _order_leader.Steward(
+        self._order_leader = _order_leader.OrderLeader(
             loop,
             store,
             self._sync,
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -19,7 +19,7 @@
 MAX_VIEW_AGE_S = 4.5
 
 
-class Steward:
+class OrderLeader:
     """A task that tries to become the holder and acts while it is.
 
     Its clock must also count suspension of the machine.
