--- a/dandelionwinch/control/__init__.py
+++ b/dandelionwinch/control/__init__.py
@@ -2,7 +2,7 @@
 
 from dandelionwinch.control._config import InstanceConfig
 from dandelionwinch.control._instance import Instance
-from dandelionwinch.control._members import RegisteredInstances
+from dandelionwinch.control._registered import RegisteredInstances
 from dandelionwinch.control._registration import Registration
 from dandelionwinch.control._store import StoreCodec
 from dandelionwinch.control._store import Conflict
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -3,7 +3,7 @@
 import asyncio
 import traceback
 
-from dandelionwinch.control import _members
+from dandelionwinch.control import _registered
 from dandelionwinch.control import _registration
 from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _store
@@ -55,7 +55,7 @@
         self._synced = False
         self._reached_at = float('-inf')
         self.holder = ''
-        self.members = _members.RegisteredInstances()
+        self.members = _registered.RegisteredInstances()
         self.on_config = on_config
 
     def start(self):
