--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -4,7 +4,7 @@
 import random
 
 from dandelionwinch import addresses
-from dandelionwinch.control import _orders
+from dandelionwinch.control import _order_sender
 from dandelionwinch.control import _registration
 from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _sync
@@ -61,11 +61,13 @@
             store,
             self._sync,
             self._gateway,
-            _orders.OrderSender(self._gateway.fleet, wire_codec, cfg.instance),
+            _order_sender.OrderSender(
+                self._gateway.fleet, wire_codec, cfg.instance
+            ),
             self.log,
             rng,
             cfg,
-            _orders.boot_clock,
+            _order_sender.boot_clock,
         )
         self._servers = {}
         self._callers = gateway.Server(
