--- a/dandelionwinch/membership/__init__.py
+++ b/dandelionwinch/membership/__init__.py
@@ -3,9 +3,9 @@
 from dandelionwinch.membership._departures import Departures
 from dandelionwinch.membership._departures import populated_data_centres
 from dandelionwinch.membership._freshness import Freshness
-from dandelionwinch.membership._members import PeerState
-from dandelionwinch.membership._members import member_id
-from dandelionwinch.membership._members import Membership
+from dandelionwinch.membership._gossip import PeerState
+from dandelionwinch.membership._gossip import member_id
+from dandelionwinch.membership._gossip import Membership
 
 __all__ = [
     'Departures',
