--- a/dandelionwinch/orders/_lease.py
+++ b/dandelionwinch/orders/_lease.py
@@ -128,7 +128,7 @@
                     revision,
                 )
             else:
-                reason = self._obstacle(
+                reason = self._blocked_reason(
                     shard, all_check_fencing, is_gone, clock.now
                 )
                 if reason:
@@ -175,7 +175,7 @@
             self._seen_revision = revision
             self._seen_at = now
 
-    def _obstacle(self, shard, all_check_fencing, is_gone, now):
+    def _blocked_reason(self, shard, all_check_fencing, is_gone, now):
         if shard.released:
             return ''
         if is_gone(shard.holder, shard.incarnation, now):
