--- a/dandelionwinch/control/__init__.py
+++ b/dandelionwinch/control/__init__.py
@@ -4,7 +4,6 @@
 from dandelionwinch.control._instance import Instance
 from dandelionwinch.control._registered import RegisteredInstances
 from dandelionwinch.control._registration import Registration
-from dandelionwinch.control._store import StoreCodec
 from dandelionwinch.control._store import Conflict
 from dandelionwinch.control._store import EntryInvalid
 from dandelionwinch.control._store import HistoryGone
@@ -12,12 +11,12 @@
 from dandelionwinch.control._store import LeaseEnded
 from dandelionwinch.control._store import Listing
 from dandelionwinch.control._store import Store
+from dandelionwinch.control._store import StoreCodec
 from dandelionwinch.control._store import StoreFailed
 from dandelionwinch.control._store import StoreRefused
 from dandelionwinch.control._sync import StoreSync
 
 __all__ = [
-    'StoreCodec',
     'Conflict',
     'EntryInvalid',
     'HistoryGone',
@@ -29,6 +28,7 @@
     'RegisteredInstances',
     'Registration',
     'Store',
+    'StoreCodec',
     'StoreFailed',
     'StoreRefused',
     'StoreSync',
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -4,9 +4,9 @@
 import random
 
 from dandelionwinch import addresses
+from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _order_sender
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _sync
 from dandelionwinch import eventlog
 from dandelionwinch import gateway
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -3,9 +3,9 @@
 import asyncio
 import traceback
 
+from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _registered
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _order_leader
 from dandelionwinch.control import _store
 from dandelionwinch import upstreams
 
--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -7,10 +7,10 @@
 from dandelionwinch.gateway._connection import read_whole
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
-from dandelionwinch.gateway._inquiry import WireCodec
 from dandelionwinch.gateway._inquiry import Inquiry
 from dandelionwinch.gateway._inquiry import Reply
 from dandelionwinch.gateway._inquiry import Sending
+from dandelionwinch.gateway._inquiry import WireCodec
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
 from dandelionwinch.gateway._server import Server
@@ -18,7 +18,6 @@
 __all__ = [
     'BadMessage',
     'ConnectionLost',
-    'WireCodec',
     'Fleet',
     'Gateway',
     'Head',
@@ -28,6 +27,7 @@
     'Reply',
     'Sending',
     'Server',
+    'WireCodec',
     'read_whole',
     'request_bytes',
 ]
--- a/dandelionwinch/membership/__init__.py
+++ b/dandelionwinch/membership/__init__.py
@@ -3,15 +3,15 @@
 from dandelionwinch.membership._departures import Departures
 from dandelionwinch.membership._departures import populated_data_centres
 from dandelionwinch.membership._freshness import Freshness
-from dandelionwinch.membership._gossip import PeerState
 from dandelionwinch.membership._gossip import member_id
 from dandelionwinch.membership._gossip import Membership
+from dandelionwinch.membership._gossip import PeerState
 
 __all__ = [
     'Departures',
     'Freshness',
-    'PeerState',
     'Membership',
+    'PeerState',
     'member_id',
     'populated_data_centres',
 ]
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -1,21 +1,21 @@
 """Authority over upstreams, and orders that outlive their sender."""
 
-from dandelionwinch.orders._lease import ShardLease
-from dandelionwinch.orders._lease import Lost
-from dandelionwinch.orders._lease import Owned
-from dandelionwinch.orders._lease import RENEWALS_PER_LEASE
-from dandelionwinch.orders._lease import Waiting
-from dandelionwinch.orders._executor import OrderExecutor
+from dandelionwinch.orders._drain import DrainReport
+from dandelionwinch.orders._drain import may_send
+from dandelionwinch.orders._executor import DesiredRole
 from dandelionwinch.orders._executor import HoldState
 from dandelionwinch.orders._executor import HoldUpstream
+from dandelionwinch.orders._executor import OrderExecutor
 from dandelionwinch.orders._executor import PollUpstream
 from dandelionwinch.orders._executor import Progress
 from dandelionwinch.orders._executor import ReleaseHold
 from dandelionwinch.orders._executor import SendOrder
 from dandelionwinch.orders._executor import UpstreamStatus
-from dandelionwinch.orders._executor import DesiredRole
-from dandelionwinch.orders._drain import DrainReport
-from dandelionwinch.orders._drain import may_send
+from dandelionwinch.orders._lease import Lost
+from dandelionwinch.orders._lease import Owned
+from dandelionwinch.orders._lease import RENEWALS_PER_LEASE
+from dandelionwinch.orders._lease import ShardLease
+from dandelionwinch.orders._lease import Waiting
 from dandelionwinch.orders._shard import Order
 from dandelionwinch.orders._shard import OrderState
 from dandelionwinch.orders._shard import Shard
@@ -23,24 +23,24 @@
 from dandelionwinch.orders._shard import shard_of
 
 __all__ = [
-    'ShardLease',
-    'OrderExecutor',
+    'DesiredRole',
     'DrainReport',
     'HoldState',
     'HoldUpstream',
     'Lost',
     'Order',
+    'OrderExecutor',
     'OrderState',
     'Owned',
     'PollUpstream',
     'Progress',
-    'ReleaseHold',
     'RENEWALS_PER_LEASE',
+    'ReleaseHold',
     'SendOrder',
     'Shard',
+    'ShardLease',
     'UpstreamStatus',
     'Waiting',
-    'DesiredRole',
     'may_send',
     'shard_key',
     'shard_of',
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -12,9 +12,9 @@
 
 from dandelionwinch import control
 from dandelionwinch.platform import _boot
+from dandelionwinch.platform import _store
 from dandelionwinch.platform import _store_codec
 from dandelionwinch.platform import _wire_codec
-from dandelionwinch.platform import _store
 
 METRICS_PORT = 9464
 _JSON = (('Content-Type', 'application/json'),)
--- a/dandelionwinch/tests/test_control.py
+++ b/dandelionwinch/tests/test_control.py
@@ -9,8 +9,8 @@
 
 from dandelionwinch import addresses
 from dandelionwinch import control
-from dandelionwinch.control import _order_sender
 from dandelionwinch.control import _order_leader
+from dandelionwinch.control import _order_sender
 from dandelionwinch import gateway
 from dandelionwinch.platform import _boot
 from dandelionwinch.platform import _store_codec
