--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_conversation.py
@@ -75,7 +75,7 @@
     def send(self, sending):
         """Sends the request."""
         inquiry = self._inquiry
-        headers = self._wire_codec.request_headers(inquiry, sending)
+        headers = self._wire_codec.upstream_headers(inquiry, sending)
         data = _codec.request_bytes(
             inquiry.method, inquiry.target, headers, inquiry.body
         )
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -70,7 +70,7 @@
     def parse_request(self, head, body):
         """Returns the Inquiry of a request, or raises BadRequest."""
 
-    def request_headers(self, inquiry, sending):
+    def upstream_headers(self, inquiry, sending):
         """Returns the headers of a request to an upstream, as pairs."""
 
     def parse_reply(self, head):
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -67,7 +67,7 @@
             _number(head.header(LAST_EVENT_ID)),
         )
 
-    def request_headers(self, inquiry, sending):
+    def upstream_headers(self, inquiry, sending):
         """Returns the headers of a request to an upstream."""
         pairs = list(inquiry.headers)
         pairs.append((TARGET, sending.upstream_id))
