--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -89,7 +89,7 @@
         head = await talk.head(patience_s)
         body = await talk.body(patience_s)
         reply = self._gateway.wire_codec.parse_reply(head)
-        handle = self._gateway.wire_codec.kv_handle(body)
+        handle = self._gateway.wire_codec.parse_kv_handle(body)
         if head.status != 200 or not handle:
             fate = attempts.Fate.UNKNOWN
             if reply.not_executed:
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -76,7 +76,7 @@
     def parse_reply(self, head):
         """Returns the Reply of a response head."""
 
-    def kv_handle(self, body):
+    def parse_kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
 
     def come_back(self, wait_s):
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -90,7 +90,7 @@
             bool(head.header(SIGNATURE)),
         )
 
-    def kv_handle(self, body):
+    def parse_kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
         try:
             value = json.loads(body)
