--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -9,7 +9,7 @@
 import attrs
 
 LEASE_S = 3.0
-RELY_S = 2.0
+RENEWAL_VALID_S = 2.0
 RENEW_S = 0.9
 MARGIN_S = 4.0
 
@@ -56,7 +56,7 @@
 
     def may_order(self, now):
         """Tells whether an order may be sent at this moment."""
-        if not self.held or now - self._renewed_at > RELY_S:
+        if not self.held or now - self._renewed_at > RENEWAL_VALID_S:
             return False
-        quiet_s = RELY_S + self.handover_s + MARGIN_S
+        quiet_s = RENEWAL_VALID_S + self.handover_s + MARGIN_S
         return now - self._taken_at >= quiet_s
