--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -84,7 +84,7 @@
                     await self._renew()
                     await self._keep_size()
                     await self._act()
-                    await asyncio.sleep(leadership.RENEW_S)
+                    await asyncio.sleep(leadership.RENEW_INTERVAL_S)
                 else:
                     await self._take()
             except _store.StoreFailed as exc:
--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -10,7 +10,7 @@
 
 LEASE_S = 3.0
 RENEWAL_VALID_S = 2.0
-RENEW_S = 0.9
+RENEW_INTERVAL_S = 0.9
 MARGIN_S = 4.0
 
 
