--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -11,7 +11,7 @@
 LEASE_S = 3.0
 RENEWAL_VALID_S = 2.0
 RENEW_INTERVAL_S = 0.9
-MARGIN_S = 4.0
+HANDOVER_MARGIN_S = 4.0
 
 
 @attrs.define
@@ -58,5 +58,5 @@
         """Tells whether an order may be sent at this moment."""
         if not self.held or now - self._renewed_at > RENEWAL_VALID_S:
             return False
-        quiet_s = RENEWAL_VALID_S + self.handover_s + MARGIN_S
+        quiet_s = RENEWAL_VALID_S + self.handover_s + HANDOVER_MARGIN_S
         return now - self._taken_at >= quiet_s
