--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -114,7 +114,7 @@
             await self._end(self._lease)
             self._lease = 0
             return
-        self._leadership.taken(token, asked_at)
+        self._leadership.acquired(token, asked_at)
         self._log.event('orders.held', token=token)
 
     async def _end(self, lease):
--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -35,7 +35,7 @@
         """Tells whether this instance holds the lease, as far as known."""
         return self.token > 0
 
-    def taken(self, token, asked_at):
+    def acquired(self, token, asked_at):
         """Notes that the store has made this instance the holder.
 
         Args:
