--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -1,9 +1,9 @@
-"""When one instance alone may give orders, and from when on.
+"""Decides when the holder of the order lease may send orders.
 
-The store's lease names the holder. As its keys may vanish before the
-lease's end, and a process may be suspended, the holder relies on its own
-last renewal for a short time only, and a new holder waits until the one
-before it can no longer rely on its own.
+A lease in the store names the holder. Its key may be deleted before the
+lease expires, and a process may be suspended. The holder therefore relies
+on its last renewal for a short time only, and a new holder first waits
+until the previous one can no longer send orders.
 """
 
 import attrs
@@ -11,52 +11,59 @@
 LEASE_S = 3.0
 RENEWAL_VALID_S = 2.0
 RENEW_INTERVAL_S = 0.9
+# Covers the delay until the previous holder learns of the new one.
 HANDOVER_MARGIN_S = 4.0
 
 
 @attrs.define
 class Leadership:
-    """The right to give orders, as one instance believes it.
+    """The local instance's view of the order lease.
 
-    Times are seconds of a clock that also counts suspension.
+    All times are in seconds of a clock that keeps running while the machine
+    is suspended.
 
     Attributes:
-        turn_s: Least time between orders of two holders to an upstream.
+        handover_s: Minimum time between orders of two consecutive holders
+            to an upstream.
         token: Fencing token, 0 while this instance is not the holder.
     """
 
     handover_s: float
     token: int = 0
     _renewed_at: float = float('-inf')
-    _taken_at: float = float('-inf')
+    _acquired_at: float = float('-inf')
 
     @property
     def held(self):
-        """Tells whether this instance holds the lease, as far as known."""
+        """Whether this instance holds the lease, as far as it can tell."""
         return self.token > 0
 
-    def acquired(self, token, asked_at):
-        """Notes that the store has made this instance the holder.
+    def acquired(self, token, sent_at):
+        """Records that this instance acquired the lease.
 
         Args:
-            token: Revision of the change in the store; only rises.
-            asked_at: Time before the call was sent.
+            token: Revision of the change in the store; it only increases.
+            sent_at: Time before the request was sent.
         """
         self.token = token
-        self._taken_at = asked_at
-        self._renewed_at = asked_at
+        self._acquired_at = sent_at
+        self._renewed_at = sent_at
 
-    def renewed(self, asked_at):
-        """Notes a renewal, by the time before the call was sent."""
-        self._renewed_at = max(self._renewed_at, asked_at)
+    def renewed(self, sent_at):
+        """Records a renewal.
+
+        Args:
+            sent_at: Time before the request was sent.
+        """
+        self._renewed_at = max(self._renewed_at, sent_at)
 
     def lost(self):
-        """Notes that another may hold the lease."""
+        """Records that another instance may hold the lease."""
         self.token = 0
 
     def may_order(self, now):
-        """Tells whether an order may be sent at this moment."""
+        """Returns whether an order may be sent at this time."""
         if not self.held or now - self._renewed_at > RENEWAL_VALID_S:
             return False
-        quiet_s = RENEWAL_VALID_S + self.handover_s + HANDOVER_MARGIN_S
-        return now - self._taken_at >= quiet_s
+        wait_s = RENEWAL_VALID_S + self.handover_s + HANDOVER_MARGIN_S
+        return now - self._acquired_at >= wait_s
