--- a/dandelionwinch/bench/_takeover.py
+++ b/dandelionwinch/bench/_takeover.py
@@ -50,7 +50,7 @@
         )
 
     def authority(name):
-        return orders.Authority('shard', name, 1, _TIMING)
+        return orders.ShardLease('shard', name, 1, _TIMING)
 
     first, second = authority('a'), authority('b')
     departures = membership.Departures(_TIMING.gone_margin_s)
@@ -58,11 +58,11 @@
     if released:
         run(first.release())
     died_at = 0.0
-    step_s = _TIMING.lease_s / orders.STEPS_PER_LEASE
+    step_s = _TIMING.lease_s / orders.RENEWALS_PER_LEASE
     now[0] = step_s * rng.random()
     while True:
         listed = ['b'] if now[0] > died_at + LIST_LAG_S else ['a', 'b']
-        departures.listed(listed)
+        departures.list_read(listed)
         result = run(second.acquire(fenced, departures.is_gone))
         if isinstance(result, orders.Owned):
             return now[0] - died_at
--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -29,11 +29,11 @@
 class OrderSender:
     """Sends orders of one instance."""
 
-    __slots__ = ('_dialect', '_fleet', '_name')
+    __slots__ = ('_wire_codec', '_fleet', '_name')
 
-    def __init__(self, fleet, dialect, name):
+    def __init__(self, fleet, wire_codec, name):
         self._fleet = fleet
-        self._dialect = dialect
+        self._wire_codec = wire_codec
         self._name = name
 
     async def send(self, upstream, change, token, may_order):
@@ -54,7 +54,9 @@
             if accepted is None:
                 return Sent(0, 'the engine is busy')
             request = gateway.request_bytes(
-                *self._dialect.order(change, self._name, token, accepted)
+                *self._wire_codec.order_request(
+                    change, self._name, token, accepted
+                )
             )
             conn = await pool.acquire(ORDER_TIMEOUT_S)
             try:
@@ -72,7 +74,7 @@
     async def _accepted(self, pool, upstream_id):
         """Returns the number of orders that an engine has accepted."""
         request = gateway.request_bytes(
-            *self._dialect.report(upstream_id), b''
+            *self._wire_codec.report_request(upstream_id), b''
         )
         conn = await pool.acquire(ORDER_TIMEOUT_S)
         try:
@@ -80,4 +82,4 @@
             _head, body = await gateway.read_response(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
-        return self._dialect.accepted_orders(body)
+        return self._wire_codec.accepted_order_count(body)
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -3,9 +3,9 @@
 import asyncio
 import traceback
 
-from dandelionwinch.control import _members
+from dandelionwinch.control import _order_leader
+from dandelionwinch.control import _registered
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _steward
 from dandelionwinch.control import _store
 from dandelionwinch import upstreams
 
@@ -18,13 +18,13 @@
 MAX_BACKOFF_S = 1.5
 
 
-class Sync:
+class StoreSync:
     """A task that owns what is known from the store."""
 
     __slots__ = (
         '_guard',
         '_capacity',
-        '_catalogue',
+        '_store_codec',
         '_gateway',
         '_log',
         '_loop',
@@ -40,11 +40,11 @@
     )
 
     def __init__(
-        self, loop, store, catalogue, served, capacity, log, rng, on_config
+        self, loop, store, store_codec, served, capacity, log, rng, on_config
     ):
         self._loop = loop
         self._store = store
-        self._catalogue = catalogue
+        self._store_codec = store_codec
         self._gateway = served
         self._capacity = capacity
         self._log = log
@@ -55,7 +55,7 @@
         self._synced = False
         self._reached_at = float('-inf')
         self.holder = ''
-        self.members = _members.Members()
+        self.members = _registered.RegisteredInstances()
         self.on_config = on_config
 
     def start(self):
@@ -117,7 +117,7 @@
         self._revision = listing.revision
         self._reached()
         keys = {item.key for item in listing.items}
-        if _steward.HOLDER_KEY not in keys:
+        if _order_leader.HOLDER_KEY not in keys:
             self.holder = ''
         # Announced changes are judged by the entries of their engines.
         ordered = sorted(listing.items, key=_is_change)
@@ -128,7 +128,7 @@
                 upstream.entry.id
                 for upstream in self._gateway.fleet.registry
                 if upstream.gone_at is None
-                and self._catalogue.key_of(upstream.entry.id) not in keys
+                and self._store_codec.key_of(upstream.entry.id) not in keys
             ],
             now,
         )
@@ -146,7 +146,7 @@
         self._reached()
         gone = []
         for item in listing.items:
-            upstream_id = self._catalogue.upstream_of(item.key)
+            upstream_id = self._store_codec.upstream_of(item.key)
             if upstream_id is not None and item.value is None:
                 gone.append(upstream_id)
                 continue
@@ -164,16 +164,16 @@
         return min(MAX_COALESCE_S, COALESCE_S + INSTANCE_S * instances)
 
     def _apply(self, item, now):
-        upstream_id = self._catalogue.upstream_of(item.key)
-        if item.key == self._catalogue.config_key:
+        upstream_id = self._store_codec.upstream_of(item.key)
+        if item.key == self._store_codec.config_key:
             self._apply_config(item)
         elif upstream_id is not None:
             self._apply_upstream(upstream_id, item, now)
         elif item.key.startswith(_registration.INSTANCE_PREFIX):
             self._apply_instance(item)
-        elif item.key == _steward.HOLDER_KEY:
+        elif item.key == _order_leader.HOLDER_KEY:
             self.holder = (item.value or b'').decode(errors='replace')
-        elif item.key == _steward.SIZE_KEY:
+        elif item.key == _order_leader.SIZE_KEY:
             self._apply_size(item)
         elif _is_change(item):
             self._apply_change(item)
@@ -186,19 +186,19 @@
     def _apply_change(self, item):
         if item.value is None:
             return
-        name = item.key.removeprefix(_steward.CHANGE_PREFIX)
+        name = item.key.removeprefix(_order_leader.CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
         upstream = self._gateway.fleet.registry.get(name)
         if upstream is None or upstream.entry.role.value == role:
             return
-        self._gateway.begin_role_change(name, _steward.CHANGE_S)
+        self._gateway.begin_role_change(name, _order_leader.CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
         if item.value is None:
             return
         try:
-            table = self._catalogue.read_config(item.value)
+            table = self._store_codec.read_config(item.value)
         except _store.EntryInvalid as exc:
             self._log.event('config.invalid', finding=exc.message)
             return
@@ -214,7 +214,7 @@
     def _apply_upstream(self, name, item, now):
         registry = self._gateway.fleet.registry
         try:
-            entry = self._catalogue.read_upstream(name, item.value)
+            entry = self._store_codec.read_upstream(name, item.value)
         except _store.EntryInvalid as exc:
             self._log.event('upstream.invalid', finding=exc.message)
             registry.remove(name, now)
@@ -280,4 +280,4 @@
 
 
 def _is_change(item):
-    return item.key.startswith(_steward.CHANGE_PREFIX)
+    return item.key.startswith(_order_leader.CHANGE_PREFIX)
--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -30,19 +30,21 @@
         core = self._core
         listed = await core.call(core.live_list.fetch)
         if listed is None:
-            core.departures.unread()
+            core.departures.list_unavailable()
             return
-        core.members.overlay(listed)
-        core.departures.listed(line.name for line in listed)
+        core.members.merge_list(listed)
+        core.departures.list_read(line.name for line in listed)
 
     async def _beat(self):
         core = self._core
         now = core.now()
-        for known in core.members.everyone():
-            core.departures.restarted(known.name, known.member.incarnation)
+        for known in core.members.all_instances():
+            core.departures.saw_incarnation(
+                known.name, known.member.incarnation
+            )
         addresses = core.members.tick(now)
-        core.members.me.jobs = core.scheduler.jobs()
-        core.members.me.revision = core.documents.revision
+        core.members.local.jobs = core.scheduler.jobs()
+        core.members.local.revision = core.documents.revision
         core.metrics.members.set(len(core.members.live(now)))
         core.metrics.ready.set(0 if core.unready_reason() else 1)
         await asyncio.gather(*(self._exchange(a) for a in addresses))
@@ -51,11 +53,11 @@
         """Tells every live peer of a change at once."""
         core = self._core
         core.members.tick(core.now())
-        core.members.me.revision = core.documents.revision
+        core.members.local.revision = core.documents.revision
         peers = [
             known.member.peer_address
             for known in core.members.live(core.now())
-            if known is not core.members.me
+            if known is not core.members.local
         ]
         await asyncio.gather(*(self._exchange(a) for a in peers))
 
@@ -70,7 +72,9 @@
             return
         await self.take(address, reply)
         if reply.revision <= core.documents.revision:
-            core.freshness.heard(reply.sender.data_centre, asked_at, reply)
+            core.freshness.merge_ages(
+                reply.sender.data_centre, asked_at, reply
+            )
 
     def digest(self, peer, data_centre):
         """Makes the digest for a peer.
@@ -85,7 +89,7 @@
         digest = core.members.digest(now, data_centre)
         digest.asked.extend(self._unknown.pop(peer, ()))
         digest.revision = core.documents.revision
-        core.freshness.tell(digest, now)
+        core.freshness.add_ages(digest, now)
         near = data_centre in (None, core.data_centre)
         digest.loads.extend(
             core.loads.known(now, None if near else LOADS_ACROSS_DATA_CENTRES)
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -229,7 +229,7 @@
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
             return
-        names = {known.name for known in self._core.members.everyone()}
+        names = {known.name for known in self._core.members.all_instances()}
         if statement.name not in names:
             raise errors.NotFound(
                 f'instance "{statement.name}" does not exist'
@@ -263,13 +263,13 @@
 
     async def _await_acceptance(self, revision, asked_at):
         core = self._core
-        data_centres = membership.staffed_data_centres(core.not_gone())
+        data_centres = membership.populated_data_centres(core.not_gone())
         watch = revisions.AcceptanceWatch(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
             now = core.now()
-            core.members.me.revision = core.documents.revision
+            core.members.local.revision = core.documents.revision
             verdict = watch.observe(core.not_gone(), now)
             if verdict.accepted or now - asked_at > ACCEPT_TIMEOUT_S:
                 break
--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -9,8 +9,8 @@
 from dandelionwinch.gateway._gateway import Gateway
 from dandelionwinch.gateway._inquiry import AttemptParams
 from dandelionwinch.gateway._inquiry import CallerRequest
-from dandelionwinch.gateway._inquiry import Dialect
 from dandelionwinch.gateway._inquiry import ReplyHeaders
+from dandelionwinch.gateway._inquiry import WireCodec
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
 from dandelionwinch.gateway._server import Server
@@ -20,7 +20,6 @@
     'BadMessage',
     'CallerRequest',
     'ConnectionLost',
-    'Dialect',
     'Fleet',
     'Gateway',
     'Head',
@@ -28,6 +27,7 @@
     'Pool',
     'ReplyHeaders',
     'Server',
+    'WireCodec',
     'read_response',
     'request_bytes',
 ]
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -171,7 +171,7 @@
             wait_s = RETRY_AFTER_S + self._gateway.rng.random() * (
                 RETRY_SPREAD_S
             )
-            headers = self._gateway.dialect.retry_after_headers(wait_s)
+            headers = self._gateway.wire_codec.retry_after_headers(wait_s)
         self.outcome = status.name.lower()
         self._caller.respond(int(status), headers, reason.encode())
         self._gateway.closed(self, int(status), reason)
@@ -286,7 +286,7 @@
             yield _conversation.Conversation(
                 self._loop,
                 conn,
-                self._gateway.dialect,
+                self._gateway.wire_codec,
                 self._inquiry,
                 self._deadline,
             )
--- a/dandelionwinch/membership/__init__.py
+++ b/dandelionwinch/membership/__init__.py
@@ -1,17 +1,17 @@
 """Which instances live, by heartbeats and the platform's list."""
 
 from dandelionwinch.membership._departures import Departures
-from dandelionwinch.membership._departures import staffed_data_centres
+from dandelionwinch.membership._departures import populated_data_centres
 from dandelionwinch.membership._freshness import Freshness
-from dandelionwinch.membership._members import Known
-from dandelionwinch.membership._members import member_id
-from dandelionwinch.membership._members import Membership
+from dandelionwinch.membership._gossip import member_id
+from dandelionwinch.membership._gossip import Membership
+from dandelionwinch.membership._gossip import PeerState
 
 __all__ = [
     'Departures',
     'Freshness',
-    'Known',
     'Membership',
+    'PeerState',
     'member_id',
-    'staffed_data_centres',
+    'populated_data_centres',
 ]
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -38,7 +38,7 @@
 )
 
 
-class Dialect:
+class WireCodec:
     """The platform's headers in the gateway's types."""
 
     __slots__ = ()
@@ -99,7 +99,7 @@
         handle = value.get('kvHandle') if isinstance(value, dict) else None
         return handle if isinstance(handle, str) else ''
 
-    def order(self, role_order, holder, token, sequence):
+    def order_request(self, role_order, holder, token, sequence):
         """Returns method, path, headers and body of an order."""
         body = {
             'op': 'phase',
@@ -115,12 +115,12 @@
         ]
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
-    def report(self, upstream_id):
+    def report_request(self, upstream_id):
         """Returns method, path and headers of a question for a report."""
         headers = [('Host', 'engine'), (TARGET, upstream_id)]
         return 'GET', '/-/report', headers
 
-    def accepted_orders(self, body):
+    def accepted_order_count(self, body):
         """Returns the number of orders a report counts, None if busy.
 
         The `sequence` of an entry in the store counts heartbeats; only
