--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -293,7 +293,9 @@
         return claims.close_done(
             self._opening.key,
             self._opening.token,
-            claims.Kept(answer.status, answer.content_type, answer.body),
+            claims.StoredAnswer(
+                answer.status, answer.content_type, answer.body
+            ),
             self._core.cfg.claims.max_kept_answer_bytes,
         )
 
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -8,10 +8,10 @@
 from dandelionwinch.claims._bucket import Full
 from dandelionwinch.claims._bucket import Granted
 from dandelionwinch.claims._bucket import Held
-from dandelionwinch.claims._bucket import Kept
 from dandelionwinch.claims._bucket import Open
 from dandelionwinch.claims._bucket import Recorded
 from dandelionwinch.claims._bucket import State
+from dandelionwinch.claims._bucket import StoredAnswer
 from dandelionwinch.claims._commit import bucket_key
 from dandelionwinch.claims._commit import bucket_of
 from dandelionwinch.claims._commit import commit_batch
@@ -44,7 +44,6 @@
     'Full',
     'Granted',
     'Held',
-    'Kept',
     'Known',
     'NotRun',
     'Open',
@@ -55,6 +54,7 @@
     'SendCall',
     'Sent',
     'State',
+    'StoredAnswer',
     'Unknown',
     'Unreached',
     'Unsettled',
--- a/dandelionwinch/claims/_bucket.py
+++ b/dandelionwinch/claims/_bucket.py
@@ -103,7 +103,7 @@
 
 
 @attrs.frozen
-class Kept:
+class StoredAnswer:
     """An answer that is to be recorded."""
 
     status: int
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -205,7 +205,7 @@
             close = claims.close_done(
                 claim.key,
                 claim.token,
-                claims.Kept(200, 'application/json', answer.body),
+                claims.StoredAnswer(200, 'application/json', answer.body),
                 core.cfg.claims.max_kept_answer_bytes,
             )
         await self.write(bucket, close)
