--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -240,14 +240,14 @@
 
     def _ask_outcome(self):
         if not self._service.asks_by_key:
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
         found = self._core.services.outcome(
             self._upstream.address, self._call.key
         )
         if not isinstance(found, service_adapter.Ran):
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
         answer = service_adapter.Answered(200, found.body, 'application/json')
-        return claims.Outcome(claims.Proof.RAN, answer)
+        return claims.Outcome(claims.OutcomeStatus.RAN, answer)
 
     def _known(self, result):
         match result:
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -30,7 +30,7 @@
 from dandelionwinch.claims._once import Sent
 from dandelionwinch.claims._once import Unknown
 from dandelionwinch.claims._resolve import is_unfinished
-from dandelionwinch.claims._resolve import Proof
+from dandelionwinch.claims._resolve import OutcomeStatus
 from dandelionwinch.claims._resolve import resolution
 
 __all__ = [
@@ -49,7 +49,7 @@
     'Open',
     'OpenClaim',
     'Outcome',
-    'Proof',
+    'OutcomeStatus',
     'Recorded',
     'SendCall',
     'Sent',
--- a/dandelionwinch/claims/_resolve.py
+++ b/dandelionwinch/claims/_resolve.py
@@ -5,7 +5,7 @@
 from dandelionwinch.claims import _bucket
 
 
-class Proof(enum.StrEnum):
+class OutcomeStatus(enum.StrEnum):
     """What the back end says of a key."""
 
     RAN = 'ran'
@@ -39,9 +39,9 @@
     Returns:
         The State that it should have, or None to leave it alone.
     """
-    if proof is Proof.RAN:
+    if proof is OutcomeStatus.RAN:
         return _bucket.State.DONE
     finished = is_unfinished(claim, holder_gone)
-    if proof is Proof.NEVER_SEEN and finished and quiet_s > settle_s:
+    if proof is OutcomeStatus.NEVER_SEEN and finished and quiet_s > settle_s:
         return _bucket.State.NOT_RUN
     return _bucket.State.UNKNOWN if finished else None
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -185,12 +185,12 @@
         if not claims.is_unfinished(claim, gone):
             return
         answer = await self._ask_back_end(claim)
-        proof = claims.Proof.CANNOT_SAY
+        proof = claims.OutcomeStatus.CANNOT_SAY
         match answer:
             case service_adapter.Ran():
-                proof = claims.Proof.RAN
+                proof = claims.OutcomeStatus.RAN
             case service_adapter.NeverSeen():
-                proof = claims.Proof.NEVER_SEEN
+                proof = claims.OutcomeStatus.NEVER_SEEN
         state = claims.resolution(
             claim,
             proof,
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -51,11 +51,11 @@
     def outcome(self, key):
         """Answers what became of a key."""
         if not self.asks_by_key:
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
         tokens = self.runs.get(key)
         if tokens:
-            return claims.Outcome(claims.Proof.RAN, _Answer(tokens[0]))
-        return claims.Outcome(claims.Proof.NEVER_SEEN)
+            return claims.Outcome(claims.OutcomeStatus.RAN, _Answer(tokens[0]))
+        return claims.Outcome(claims.OutcomeStatus.NEVER_SEEN)
 
 
 class _Instance:
@@ -303,7 +303,7 @@
         """Asks the back end what became of a key."""
         world = self.world
         if world.chance(0.1):
-            outcome = claims.Outcome(claims.Proof.CANNOT_SAY)
+            outcome = claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
             world.after(2.0, reply, outcome)
             return
         world.after(0.01, reply, self.back_end.outcome(key))
