--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -240,12 +240,12 @@
 
     def _ask_outcome(self):
         if not self._service.asks_by_key:
-            return claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         found = self._core.services.outcome(
             self._upstream.address, self._call.key
         )
         if not isinstance(found, service_adapter.Ran):
-            return claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         answer = service_adapter.Answered(200, found.body, 'application/json')
         return claims.Outcome(claims.OutcomeStatus.RAN, answer)
 
--- a/dandelionwinch/claims/_resolve.py
+++ b/dandelionwinch/claims/_resolve.py
@@ -10,7 +10,7 @@
 
     RAN = 'ran'
     NEVER_SEEN = 'never seen'
-    CANNOT_SAY = 'cannot say'
+    INDETERMINATE = 'cannot say'
 
 
 def is_unfinished(claim, holder_gone):
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -185,7 +185,7 @@
         if not claims.is_unfinished(claim, gone):
             return
         answer = await self._ask_back_end(claim)
-        proof = claims.OutcomeStatus.CANNOT_SAY
+        proof = claims.OutcomeStatus.INDETERMINATE
         match answer:
             case service_adapter.Ran():
                 proof = claims.OutcomeStatus.RAN
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -51,7 +51,7 @@
     def outcome(self, key):
         """Answers what became of a key."""
         if not self.asks_by_key:
-            return claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         tokens = self.runs.get(key)
         if tokens:
             return claims.Outcome(claims.OutcomeStatus.RAN, _Answer(tokens[0]))
@@ -303,7 +303,7 @@
         """Asks the back end what became of a key."""
         world = self.world
         if world.chance(0.1):
-            outcome = claims.Outcome(claims.OutcomeStatus.CANNOT_SAY)
+            outcome = claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
             world.after(2.0, reply, outcome)
             return
         world.after(0.01, reply, self.back_end.outcome(key))
