--- a/dandelionwinch/claims/_once.py
+++ b/dandelionwinch/claims/_once.py
@@ -50,7 +50,7 @@
 class Outcome:
     """What the back end says of a key, with its answer if it ran."""
 
-    proof: _resolve.OutcomeStatus
+    status: _resolve.OutcomeStatus
     answer: object = None
 
 
--- a/dandelionwinch/claims/_resolve.py
+++ b/dandelionwinch/claims/_resolve.py
@@ -23,7 +23,7 @@
     return claim.state is _bucket.State.UNKNOWN
 
 
-def resolution(claim, proof, holder_gone, quiet_s, settle_s):
+def resolution(claim, status, holder_gone, quiet_s, settle_s):
     """Decides what an unfinished claim becomes.
 
     "Never seen" proves that a call did not run only if nobody can send
@@ -39,9 +39,9 @@
     Returns:
         The State that it should have, or None to leave it alone.
     """
-    if proof is OutcomeStatus.RAN:
+    if status is OutcomeStatus.RAN:
         return _bucket.State.DONE
     finished = is_unfinished(claim, holder_gone)
-    if proof is OutcomeStatus.NEVER_SEEN and finished and quiet_s > settle_s:
+    if status is OutcomeStatus.NEVER_SEEN and finished and quiet_s > settle_s:
         return _bucket.State.NOT_RUN
     return _bucket.State.UNKNOWN if finished else None
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -185,15 +185,15 @@
         if not claims.is_unfinished(claim, gone):
             return
         answer = await self._ask_back_end(claim)
-        proof = claims.OutcomeStatus.INDETERMINATE
+        status = claims.OutcomeStatus.INDETERMINATE
         match answer:
             case service_adapter.Ran():
-                proof = claims.OutcomeStatus.RAN
+                status = claims.OutcomeStatus.RAN
             case service_adapter.NeverSeen():
-                proof = claims.OutcomeStatus.NEVER_SEEN
+                status = claims.OutcomeStatus.NEVER_SEEN
         state = claims.resolution(
             claim,
-            proof,
+            status,
             gone,
             clock.wall - claim.changed,
             core.cfg.timing.gone_margin_s,
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -172,7 +172,7 @@
         def asked(outcome):
             state = claims.resolution(
                 claim,
-                outcome.proof,
+                outcome.status,
                 gone,
                 clock.wall - claim.changed,
                 SETTLE_S,
