--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -187,7 +187,7 @@
         Raises:
             DandelionwinchError: With what is known of the call.
         """
-        program = claims.run_once(
+        program = claims.run_at_most_once(
             self._opening,
             self._service.dedupes_by_key,
             self._core.cfg.claims.send_window_s,
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -25,7 +25,7 @@
 from dandelionwinch.claims._once import NotRun
 from dandelionwinch.claims._once import OpenClaim
 from dandelionwinch.claims._once import Outcome
-from dandelionwinch.claims._once import run_once
+from dandelionwinch.claims._once import run_at_most_once
 from dandelionwinch.claims._once import SendCall
 from dandelionwinch.claims._once import Sent
 from dandelionwinch.claims._once import Unknown
@@ -65,5 +65,5 @@
     'is_unfinished',
     'key_time',
     'resolution',
-    'run_once',
+    'run_at_most_once',
 ]
--- a/dandelionwinch/claims/_once.py
+++ b/dandelionwinch/claims/_once.py
@@ -80,7 +80,7 @@
     result: object
 
 
-def run_once(opening, dedupes_by_key, window_s, record):
+def run_at_most_once(opening, dedupes_by_key, window_s, record):
     """Claims a key, sends the call and records the outcome.
 
     The claim is in the store before the first byte is sent, and it is
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -79,7 +79,9 @@
         self._sequence += 1
         token = f'{self.process.name}#1#{self._sequence}'
         opening = claims.Open(key, token, 'request')
-        program = claims.run_once(opening, False, 2.0, self._record(opening))
+        program = claims.run_at_most_once(
+            opening, False, 2.0, self._record(opening)
+        )
         self._calls[program] = opening
 
         def done(result):
