--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -216,7 +216,7 @@
                 return self._core.ask(messages.OpenClaim(mutation))
             case claims.SendCall():
                 return self._send()
-            case claims.AskOutcome():
+            case claims.QueryOutcome():
                 return self._ask_outcome()
             case claims.CloseClaim(mutation=mutation):
                 return self._core.ask(messages.CloseClaim(mutation))
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -18,13 +18,13 @@
 from dandelionwinch.claims._commit import Unreached
 from dandelionwinch.claims._commit import Unsettled
 from dandelionwinch.claims._keys import key_time
-from dandelionwinch.claims._once import AskOutcome
 from dandelionwinch.claims._once import CloseClaim
 from dandelionwinch.claims._once import Done
 from dandelionwinch.claims._once import Known
 from dandelionwinch.claims._once import NotRun
 from dandelionwinch.claims._once import OpenClaim
 from dandelionwinch.claims._once import Outcome
+from dandelionwinch.claims._once import QueryOutcome
 from dandelionwinch.claims._once import run_at_most_once
 from dandelionwinch.claims._once import SendCall
 from dandelionwinch.claims._once import Sent
@@ -34,7 +34,6 @@
 from dandelionwinch.claims._resolve import resolution
 
 __all__ = [
-    'AskOutcome',
     'Bucket',
     'Claim',
     'Close',
@@ -50,6 +49,7 @@
     'OpenClaim',
     'Outcome',
     'OutcomeStatus',
+    'QueryOutcome',
     'Recorded',
     'SendCall',
     'Sent',
--- a/dandelionwinch/claims/_once.py
+++ b/dandelionwinch/claims/_once.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class AskOutcome:
+class QueryOutcome:
     """Asks the back end by key; the reply is an Outcome."""
 
 
@@ -121,7 +121,7 @@
 def _conclude(opening, claimed, sent, record):
     answer = sent.answer
     if answer is None:
-        outcome = yield AskOutcome()
+        outcome = yield QueryOutcome()
         answer = outcome.answer
     if answer is not None:
         if claimed:
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -117,7 +117,7 @@
                 reply(None)
             case claims.SendCall():
                 self._send(opening, reply)
-            case claims.AskOutcome():
+            case claims.QueryOutcome():
                 self.search.ask(opening.key, reply)
 
     def _open(self, mutation, reply):
