--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -197,7 +197,7 @@
         match result:
             case claims.Done(answer=answer):
                 return answer, {}
-            case claims.Known(result=held):
+            case claims.NotGranted(result=held):
                 return self._known(held)
             case claims.NotRun(reason=reason):
                 raise errors.NoUpstream(
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -20,7 +20,7 @@
 from dandelionwinch.claims._keys import key_time
 from dandelionwinch.claims._once import CloseClaim
 from dandelionwinch.claims._once import Done
-from dandelionwinch.claims._once import Known
+from dandelionwinch.claims._once import NotGranted
 from dandelionwinch.claims._once import NotRun
 from dandelionwinch.claims._once import OpenClaim
 from dandelionwinch.claims._once import Outcome
@@ -43,7 +43,7 @@
     'Full',
     'Granted',
     'Held',
-    'Known',
+    'NotGranted',
     'NotRun',
     'Open',
     'OpenClaim',
--- a/dandelionwinch/claims/_once.py
+++ b/dandelionwinch/claims/_once.py
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class Known:
+class NotGranted:
     """Result: the key was refused or claimed before."""
 
     result: object
@@ -103,7 +103,7 @@
             result, _bucket.Held | _bucket.Expired | _bucket.Full
         )
         if not (unreached and dedupes_by_key):
-            return Known(result)
+            return NotGranted(result)
     more = True
     while more:
         clock = yield effects.Clock()
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -249,11 +249,11 @@
                     self._told_done.add(key)
                 case claims.NotRun():
                     self._not_run[token] = key
-                case claims.Known(
+                case claims.NotGranted(
                     result=claims.Unreached() | claims.Unsettled()
                 ):
                     self._not_run[token] = key
-                case claims.Known(result=claims.Held(claim=claim)):
+                case claims.NotGranted(result=claims.Held(claim=claim)):
                     if claim.state is claims.State.DONE:
                         self._told_done.add(key)
 
