--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -229,14 +229,14 @@
             upstream.address, self._call, self._service.deadline_s
         )
         if _is_good(answer):
-            return claims.Sent(True, answer)
+            return claims.SendResult(True, answer)
         self._core.ask(
             messages.UpstreamFailed(
                 self._call.request_id, upstream.name, _reason(answer)
             )
         )
         reached = not isinstance(answer, service_adapter.NotSent)
-        return claims.Sent(reached, None, bool(self._upstreams))
+        return claims.SendResult(reached, None, bool(self._upstreams))
 
     def _ask_outcome(self):
         if not self._service.asks_by_key:
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -27,7 +27,7 @@
 from dandelionwinch.claims._once import QueryOutcome
 from dandelionwinch.claims._once import run_at_most_once
 from dandelionwinch.claims._once import SendCall
-from dandelionwinch.claims._once import Sent
+from dandelionwinch.claims._once import SendResult
 from dandelionwinch.claims._once import Unknown
 from dandelionwinch.claims._resolve import is_unfinished
 from dandelionwinch.claims._resolve import OutcomeStatus
@@ -52,7 +52,7 @@
     'QueryOutcome',
     'Recorded',
     'SendCall',
-    'Sent',
+    'SendResult',
     'State',
     'StoredAnswer',
     'Unknown',
--- a/dandelionwinch/claims/_once.py
+++ b/dandelionwinch/claims/_once.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SendResult:
     """What became of a send.
 
     Attributes:
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -280,17 +280,17 @@
         world = self.world
         match world.rng.randrange(10):
             case 0:
-                world.after(0.01, reply, claims.Sent(False, None, True))
+                world.after(0.01, reply, claims.SendResult(False, None, True))
             case 1:
                 world.faults.late_messages += 1
                 delay_s = CONNECTION_WORST_S * world.rng.random()
                 world.after(delay_s, self._run, opening)
-                world.after(5.0, reply, claims.Sent(True))
+                world.after(5.0, reply, claims.SendResult(True))
             case 2:
                 world.after(0.01, self._run, opening)
-                world.after(5.0, reply, claims.Sent(True))
+                world.after(5.0, reply, claims.SendResult(True))
             case 3:
-                world.after(5.0, reply, claims.Sent(True))
+                world.after(5.0, reply, claims.SendResult(True))
             case _:
                 world.after(0.01, self._run_and_answer, opening, reply)
 
@@ -299,7 +299,7 @@
 
     def _run_and_answer(self, opening, reply):
         answer = self._run(opening)
-        self.world.after(0.01, reply, claims.Sent(True, answer))
+        self.world.after(0.01, reply, claims.SendResult(True, answer))
 
     def ask(self, key, reply):
         """Asks the back end what became of a key."""
