--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -290,7 +290,7 @@
         return answer, headers
 
     def _record(self, answer):
-        return claims.close_done(
+        return claims.close_with_answer(
             self._opening.key,
             self._opening.token,
             claims.StoredAnswer(
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -3,7 +3,7 @@
 from dandelionwinch.claims._bucket import Bucket
 from dandelionwinch.claims._bucket import Claim
 from dandelionwinch.claims._bucket import Close
-from dandelionwinch.claims._bucket import close_done
+from dandelionwinch.claims._bucket import close_with_answer
 from dandelionwinch.claims._bucket import Expired
 from dandelionwinch.claims._bucket import Full
 from dandelionwinch.claims._bucket import Granted
@@ -60,7 +60,7 @@
     'Unsettled',
     'bucket_key',
     'bucket_of',
-    'close_done',
+    'close_with_answer',
     'commit_batch',
     'is_unfinished',
     'key_time',
--- a/dandelionwinch/claims/_bucket.py
+++ b/dandelionwinch/claims/_bucket.py
@@ -111,7 +111,7 @@
     body: bytes
 
 
-def close_done(key, token, kept, limit):
+def close_with_answer(key, token, kept, limit):
     """Returns the change that records an answer.
 
     A body that is small and text is kept; of others the digest is.
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -202,7 +202,7 @@
             return
         close = claims.Close(claim.key, claim.token, state)
         if isinstance(answer, service_adapter.Ran):
-            close = claims.close_done(
+            close = claims.close_with_answer(
                 claim.key,
                 claim.token,
                 claims.StoredAnswer(200, 'application/json', answer.body),
