--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -29,7 +29,7 @@
 from dandelionwinch.claims._once import SendCall
 from dandelionwinch.claims._once import SendResult
 from dandelionwinch.claims._once import Unknown
-from dandelionwinch.claims._resolve import is_unfinished
+from dandelionwinch.claims._resolve import needs_resolution
 from dandelionwinch.claims._resolve import OutcomeStatus
 from dandelionwinch.claims._resolve import resolution
 
@@ -62,8 +62,8 @@
     'bucket_of',
     'close_with_answer',
     'commit_batch',
-    'is_unfinished',
     'key_time',
+    'needs_resolution',
     'resolution',
     'run_at_most_once',
 ]
--- a/dandelionwinch/claims/_resolve.py
+++ b/dandelionwinch/claims/_resolve.py
@@ -13,7 +13,7 @@
     INDETERMINATE = 'cannot say'
 
 
-def is_unfinished(claim, holder_gone):
+def needs_resolution(claim, holder_gone):
     """Tells whether a claim's outcome has to be found by others.
 
     An open claim belongs to its holder as long as that may live.
@@ -41,7 +41,7 @@
     """
     if status is OutcomeStatus.RAN:
         return _bucket.State.DONE
-    finished = is_unfinished(claim, holder_gone)
+    finished = needs_resolution(claim, holder_gone)
     if status is OutcomeStatus.NEVER_SEEN and finished and quiet_s > settle_s:
         return _bucket.State.NOT_RUN
     return _bucket.State.UNKNOWN if finished else None
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -182,7 +182,7 @@
         core = self._core
         holder, incarnation, _request = claim.token.split('#')
         gone = core.departures.is_gone(holder, int(incarnation), clock.now)
-        if not claims.is_unfinished(claim, gone):
+        if not claims.needs_resolution(claim, gone):
             return
         answer = await self._ask_back_end(claim)
         status = claims.OutcomeStatus.INDETERMINATE
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -168,7 +168,7 @@
     def _resolve_claim(self, claim, clock):
         holder = claim.token.partition('#')[0]
         gone = self.departures.is_gone(holder, 1, clock.now)
-        if not claims.is_unfinished(claim, gone):
+        if not claims.needs_resolution(claim, gone):
             return
 
         def asked(outcome):
