--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -31,7 +31,7 @@
 from dandelionwinch.claims._once import Unknown
 from dandelionwinch.claims._resolve import needs_resolution
 from dandelionwinch.claims._resolve import OutcomeStatus
-from dandelionwinch.claims._resolve import resolution
+from dandelionwinch.claims._resolve import resolved_state
 
 __all__ = [
     'Bucket',
@@ -64,6 +64,6 @@
     'commit_batch',
     'key_time',
     'needs_resolution',
-    'resolution',
+    'resolved_state',
     'run_at_most_once',
 ]
--- a/dandelionwinch/claims/_resolve.py
+++ b/dandelionwinch/claims/_resolve.py
@@ -23,7 +23,7 @@
     return claim.state is _bucket.State.UNKNOWN
 
 
-def resolution(claim, status, holder_gone, quiet_s, settle_s):
+def resolved_state(claim, status, holder_gone, quiet_s, settle_s):
     """Decides what an unfinished claim becomes.
 
     "Never seen" proves that a call did not run only if nobody can send
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -191,7 +191,7 @@
                 status = claims.OutcomeStatus.RAN
             case service_adapter.NeverSeen():
                 status = claims.OutcomeStatus.NEVER_SEEN
-        state = claims.resolution(
+        state = claims.resolved_state(
             claim,
             status,
             gone,
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -172,7 +172,7 @@
             return
 
         def asked(outcome):
-            state = claims.resolution(
+            state = claims.resolved_state(
                 claim,
                 outcome.status,
                 gone,
