--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -264,7 +264,7 @@
     async def _await_acceptance(self, revision, asked_at):
         core = self._core
         data_centres = membership.staffed_data_centres(core.not_gone())
-        watch = revisions.AcceptanceWatch(
+        watch = revisions.RolloutTracker(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
--- a/dandelionwinch/revisions/__init__.py
+++ b/dandelionwinch/revisions/__init__.py
@@ -1,7 +1,7 @@
 """The operators' configuration: revisions that never revert."""
 
 from dandelionwinch.revisions._acceptance import Acceptance
-from dandelionwinch.revisions._acceptance import AcceptanceWatch
+from dandelionwinch.revisions._acceptance import RolloutTracker
 from dandelionwinch.revisions._documents import Document
 from dandelionwinch.revisions._documents import Documents
 from dandelionwinch.revisions._programs import change
@@ -13,12 +13,12 @@
 
 __all__ = [
     'Acceptance',
-    'AcceptanceWatch',
     'Changed',
     'Document',
     'Documents',
     'Fetched',
     'Rejected',
+    'RolloutTracker',
     'Unreached',
     'change',
     'fetch',
--- a/dandelionwinch/revisions/_acceptance.py
+++ b/dandelionwinch/revisions/_acceptance.py
@@ -20,7 +20,7 @@
     reason: str
 
 
-class AcceptanceWatch:
+class RolloutTracker:
     """Watches one committed revision until it is accepted.
 
     It is accepted once a majority of data centres hold it as a whole for
--- a/dandelionwinch/search/_settings.py
+++ b/dandelionwinch/search/_settings.py
@@ -169,7 +169,7 @@
             self._commits[result.revision] = self.world.now
             peer.fetch()
             data_centres = membership.staffed_data_centres(peer.remaining())
-            watch = revisions.AcceptanceWatch(
+            watch = revisions.RolloutTracker(
                 result.revision, data_centres, self.timing.cut_off_s
             )
             self._await(peer, watch, result.revision, peer.now())
