--- a/dandelionwinch/revisions/__init__.py
+++ b/dandelionwinch/revisions/__init__.py
@@ -1,6 +1,6 @@
 """The operators' configuration: revisions that never revert."""
 
-from dandelionwinch.revisions._acceptance import Acceptance
+from dandelionwinch.revisions._acceptance import RolloutStatus
 from dandelionwinch.revisions._acceptance import RolloutTracker
 from dandelionwinch.revisions._documents import Document
 from dandelionwinch.revisions._documents import Documents
@@ -12,12 +12,12 @@
 from dandelionwinch.revisions._programs import Unreached
 
 __all__ = [
-    'Acceptance',
     'Changed',
     'Document',
     'Documents',
     'Fetched',
     'Rejected',
+    'RolloutStatus',
     'RolloutTracker',
     'Unreached',
     'change',
--- a/dandelionwinch/revisions/_acceptance.py
+++ b/dandelionwinch/revisions/_acceptance.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Acceptance:
+class RolloutStatus:
     """How far a committed revision has come.
 
     Attributes:
@@ -65,14 +65,14 @@
         ]
         if 2 * len(whole) <= len(self._data_centres):
             self._whole_since = None
-            return Acceptance(
+            return RolloutStatus(
                 False, names, 'no majority of data_centres holds it'
             )
         if self._whole_since is None:
             self._whole_since = now
         waited_s = now - self._whole_since
         if waited_s <= self._cut_off_s * DRIFT_FACTOR:
-            return Acceptance(
+            return RolloutStatus(
                 False, names, 'unreached instances may still take work'
             )
-        return Acceptance(True, names, '')
+        return RolloutStatus(True, names, '')
