--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -278,7 +278,7 @@
             'accepted': verdict.accepted,
             'revision': revision,
             'seconds': round(core.now() - asked_at, 3),
-            'unconfirmed': list(verdict.missing),
+            'unconfirmed': list(verdict.unconfirmed),
             'message': verdict.reason,
         }
 
--- a/dandelionwinch/revisions/_acceptance.py
+++ b/dandelionwinch/revisions/_acceptance.py
@@ -16,7 +16,7 @@
     """
 
     accepted: bool
-    missing: tuple[str, ...]
+    unconfirmed: tuple[str, ...]
     reason: str
 
 
@@ -54,9 +54,9 @@
         Returns:
             An Acceptance.
         """
-        missing = [k for k in members if k.revision < self._revision]
-        names = tuple(known.name for known in missing)
-        lacking = {known.data_centre for known in missing}
+        unconfirmed = [k for k in members if k.revision < self._revision]
+        names = tuple(known.name for known in unconfirmed)
+        lacking = {known.data_centre for known in unconfirmed}
         met = {known.data_centre for known in members} - lacking
         whole = [
             data_centre
