--- a/dandelionwinch/revisions/_acceptance.py
+++ b/dandelionwinch/revisions/_acceptance.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-DRIFT_FACTOR = 1.1
+CLOCK_DRIFT_RATIO = 1.1
 
 
 @attrs.frozen
@@ -71,7 +71,7 @@
         if self._whole_since is None:
             self._whole_since = now
         waited_s = now - self._whole_since
-        if waited_s <= self._cut_off_s * DRIFT_FACTOR:
+        if waited_s <= self._cut_off_s * CLOCK_DRIFT_RATIO:
             return RolloutStatus(
                 False, names, 'unreached instances may still take work'
             )
