--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -108,7 +108,7 @@
         """Answers a peer that asks for newer documents."""
         held = self._core.documents
         reply = peer_pb2.DocumentsReply(revision=held.revision)
-        for document in held.after(request.after):
+        for document in held.changed_since(request.after):
             reply.documents.add(
                 path=document.path,
                 revision=document.revision,
--- a/dandelionwinch/revisions/_documents.py
+++ b/dandelionwinch/revisions/_documents.py
@@ -46,7 +46,7 @@
         self.revision = revision
         return True
 
-    def after(self, revision):
+    def changed_since(self, revision):
         """Returns the documents that changed after a revision."""
         return [
             document
--- a/dandelionwinch/search/_settings.py
+++ b/dandelionwinch/search/_settings.py
@@ -142,7 +142,7 @@
 
         def arrive():
             held = peer.documents
-            documents = held.after(caller.documents.revision)
+            documents = held.changed_since(caller.documents.revision)
             caller.process.soon(
                 _world.LATENCY_S, caller.adopt, held.revision, documents
             )
