--- a/dandelionwinch/revisions/__init__.py
+++ b/dandelionwinch/revisions/__init__.py
@@ -1,7 +1,5 @@
 """The operators' configuration: revisions that never revert."""
 
-from dandelionwinch.revisions._acceptance import RolloutStatus
-from dandelionwinch.revisions._acceptance import RolloutTracker
 from dandelionwinch.revisions._documents import Document
 from dandelionwinch.revisions._documents import Documents
 from dandelionwinch.revisions._programs import change
@@ -10,6 +8,8 @@
 from dandelionwinch.revisions._programs import Fetched
 from dandelionwinch.revisions._programs import Rejected
 from dandelionwinch.revisions._programs import Unreached
+from dandelionwinch.revisions._rollout import RolloutStatus
+from dandelionwinch.revisions._rollout import RolloutTracker
 
 __all__ = [
     'Changed',
