--- a/dandelionwinch/jobs/__init__.py
+++ b/dandelionwinch/jobs/__init__.py
@@ -1,6 +1,6 @@
 """Jobs: requests of clients, their attempts and whole answers."""
 
-from dandelionwinch.jobs._assembly import Assembly
+from dandelionwinch.jobs._assembly import AnswerAssembly
 from dandelionwinch.jobs._assembly import StreamGap
 from dandelionwinch.jobs._book import JobBook
 from dandelionwinch.jobs._book import JobRecord
@@ -9,7 +9,7 @@
 from dandelionwinch.jobs._requests import with_partial
 
 __all__ = [
-    'Assembly',
+    'AnswerAssembly',
     'Completion',
     'JobBook',
     'JobRecord',
--- a/dandelionwinch/jobs/_assembly.py
+++ b/dandelionwinch/jobs/_assembly.py
@@ -5,7 +5,7 @@
     """A piece arrived after one that is missing."""
 
 
-class Assembly:
+class AnswerAssembly:
     """The answer of one job, whatever attempt its pieces come from.
 
     Each attempt has a number. Pieces of a superseded attempt are
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -98,7 +98,7 @@
         self._cfg = core.cfg.relay
         self._job_id = job_id
         self.job = job
-        self._assembly = jobs.Assembly()
+        self._assembly = jobs.AnswerAssembly()
         self._deadline = time.monotonic() + self._cfg.deadline_s
         self._started = time.monotonic()
         self._exclude = set()
