--- a/dandelionwinch/jobs/_assembly.py
+++ b/dandelionwinch/jobs/_assembly.py
@@ -48,7 +48,7 @@
         self.attempt += 1
         return self.attempt
 
-    def carry_on(self):
+    def start_continuation(self):
         """Starts an attempt that continues the text elsewhere."""
         self.attempt += 1
         self._base = self.next_offset
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -155,7 +155,7 @@
         )
         self._target = _Target(placed, self._generation)
         self._resumes = 0
-        return self._assembly.carry_on()
+        return self._assembly.start_continuation()
 
     def _call(self):
         body = jobs.with_partial(
