--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -20,7 +20,7 @@
 
     def __init__(self, core):
         self._core = core
-        self.book = jobs.JobBook()
+        self.book = jobs.JobHistory()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
         self.beliefs = placement.Beliefs()
         self.placer = placement.Placer(self.beliefs, core.rng)
--- a/dandelionwinch/jobs/__init__.py
+++ b/dandelionwinch/jobs/__init__.py
@@ -2,7 +2,7 @@
 
 from dandelionwinch.jobs._assembly import AnswerAssembly
 from dandelionwinch.jobs._assembly import StreamGap
-from dandelionwinch.jobs._book import JobBook
+from dandelionwinch.jobs._book import JobHistory
 from dandelionwinch.jobs._book import JobRecord
 from dandelionwinch.jobs._requests import Completion
 from dandelionwinch.jobs._requests import parse_completion
@@ -11,7 +11,7 @@
 __all__ = [
     'AnswerAssembly',
     'Completion',
-    'JobBook',
+    'JobHistory',
     'JobRecord',
     'StreamGap',
     'parse_completion',
--- a/dandelionwinch/jobs/_book.py
+++ b/dandelionwinch/jobs/_book.py
@@ -30,7 +30,7 @@
     terms: list = attrs.field(factory=list)
 
 
-class JobBook:
+class JobHistory:
     """All running jobs and a bounded number of ended ones."""
 
     __slots__ = ('_ended', '_running')
