--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -161,7 +161,7 @@
         ]
 
     def _own_job(self, job_id):
-        record = self._core.work.book.get(job_id)
+        record = self._core.work.job_history.get(job_id)
         if record is None:
             return []
         return [
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -20,7 +20,7 @@
 
     def __init__(self, core):
         self._core = core
-        self.book = jobs.JobHistory()
+        self.job_history = jobs.JobHistory()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
         self.beliefs = placement.Beliefs()
         self.placer = placement.Placer(self.beliefs, core.rng)
@@ -57,7 +57,7 @@
         record = jobs.JobRecord(
             message.job_id, message.team, message.target, now
         )
-        self.book.open(record)
+        self.job_history.open(record)
         core.metrics.running.set(self.admission.jobs)
         core.event('job.admitted', message.job_id, message.target)
 
@@ -144,7 +144,7 @@
         return sites
 
     def _note(self, message, choice, now):
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         job = message.job
         if record is not None:
             record.upstream = choice.decode or choice.prefill
@@ -219,7 +219,7 @@
             )
         found.sort(key=lambda pair: pair[0])
         upstreams = tuple(upstream for _rank, upstream in found)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.upstream = upstreams[0].name
             record.attempts += 1
@@ -231,7 +231,7 @@
         now = core.now()
         self.beliefs.failed(message.upstream, now)
         core.loads.rest(message.upstream, now)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.terms.append(
                 f'upstream "{message.upstream}" failed: {message.reason}'
@@ -260,7 +260,7 @@
     def finish(self, message):
         """Notes how a job ended and books what it earned."""
         core = self._core
-        record = self.book.end(
+        record = self.job_history.end(
             message.job_id, message.state, message.code, core.now()
         )
         if record is None:
