--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -57,7 +57,7 @@
         record = jobs.JobRecord(
             message.job_id, message.team, message.target, now
         )
-        self.job_history.open(record)
+        self.job_history.add(record)
         core.metrics.running.set(self.admission.jobs)
         core.event('job.admitted', message.job_id, message.target)
 
--- a/dandelionwinch/jobs/_book.py
+++ b/dandelionwinch/jobs/_book.py
@@ -39,7 +39,7 @@
         self._running = {}
         self._ended = collections.OrderedDict()
 
-    def open(self, record):
+    def add(self, record):
         """Adds a running job."""
         self._running[record.id] = record
 
