--- a/dandelionwinch/jobs/_book.py
+++ b/dandelionwinch/jobs/_book.py
@@ -68,7 +68,7 @@
         """Returns all records, ended ones first."""
         return [*self._ended.values(), *self._running.values()]
 
-    def on_upstream(self, upstream):
+    def count_on_upstream(self, upstream):
         """Returns the number of running jobs on an upstream."""
         return sum(
             1
