--- a/dandelionwinch/jobs/__init__.py
+++ b/dandelionwinch/jobs/__init__.py
@@ -4,13 +4,13 @@
 from dandelionwinch.jobs._assembly import StreamGap
 from dandelionwinch.jobs._book import JobHistory
 from dandelionwinch.jobs._book import JobRecord
-from dandelionwinch.jobs._requests import Completion
+from dandelionwinch.jobs._requests import CompletionRequest
 from dandelionwinch.jobs._requests import parse_completion
 from dandelionwinch.jobs._requests import with_partial
 
 __all__ = [
     'AnswerAssembly',
-    'Completion',
+    'CompletionRequest',
     'JobHistory',
     'JobRecord',
     'StreamGap',
--- a/dandelionwinch/jobs/_requests.py
+++ b/dandelionwinch/jobs/_requests.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Completion:
+class CompletionRequest:
     """A checked request.
 
     Attributes:
@@ -64,7 +64,7 @@
         raise errors.BadRequest('field "stream" is not true or false')
     chat = path == CHAT_PATH
     text = _chat_text(body) if chat else _prompt_text(body)
-    return Completion(
+    return CompletionRequest(
         path,
         body,
         model,
