--- a/dandelionwinch/jobs/__init__.py
+++ b/dandelionwinch/jobs/__init__.py
@@ -5,8 +5,8 @@
 from dandelionwinch.jobs._book import JobHistory
 from dandelionwinch.jobs._book import JobRecord
 from dandelionwinch.jobs._requests import CompletionRequest
+from dandelionwinch.jobs._requests import continuation_body
 from dandelionwinch.jobs._requests import parse_completion
-from dandelionwinch.jobs._requests import with_partial
 
 __all__ = [
     'AnswerAssembly',
@@ -14,6 +14,6 @@
     'JobHistory',
     'JobRecord',
     'StreamGap',
+    'continuation_body',
     'parse_completion',
-    'with_partial',
 ]
--- a/dandelionwinch/jobs/_requests.py
+++ b/dandelionwinch/jobs/_requests.py
@@ -117,7 +117,7 @@
     return body.get('n', 1) == 1 and not any(body.get(k) for k in fancy)
 
 
-def with_partial(job, partial, made):
+def continuation_body(job, partial, made):
     """Returns the body that continues a partial answer.
 
     Args:
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -158,7 +158,7 @@
         return self._assembly.start_continuation()
 
     def _call(self):
-        body = jobs.with_partial(
+        body = jobs.continuation_body(
             self.job, self._assembly_text(), self._assembly.tokens
         )
         placed = self._target.placed
