--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -21,7 +21,7 @@
 
     def book(self, record, tokens):
         """Books a job whose whole answer reached its client."""
-        self.ledger.book(record.id, record.team, tokens)
+        self.ledger.record_job(record.id, record.team, tokens)
 
     async def _write_if_due(self):
         core = self._core
--- a/dandelionwinch/earnings/_ledger.py
+++ b/dandelionwinch/earnings/_ledger.py
@@ -57,7 +57,7 @@
         self._written = {}
         self._booked = {}
 
-    def book(self, job_id, team, tokens):
+    def record_job(self, job_id, team, tokens):
         """Books a delivered job once.
 
         Returns:
