--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -298,7 +298,7 @@
 def _earning_cost(clocked, instances):
     started = time.process_time()
     ledgers = [earnings.Ledger(f'entry-{n}', 1) for n in range(instances)]
-    period_s = earnings.write_period(_TIMING.earnings_s, instances)
+    period_s = earnings.write_interval_s(_TIMING.earnings_s, instances)
     rounds = max(1, round(STORE_S / period_s))
     number = 0
     for _round in range(rounds):
--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -26,7 +26,7 @@
     async def _write_if_due(self):
         core = self._core
         now = core.now()
-        period_s = earnings.write_period(
+        period_s = earnings.write_interval_s(
             core.cfg.timing.earnings_s, len(core.members.live(now))
         )
         if now - self._written_at >= period_s * DUE_SHARE:
--- a/dandelionwinch/earnings/_ledger.py
+++ b/dandelionwinch/earnings/_ledger.py
@@ -33,7 +33,7 @@
     return f'earnings/{instance}/{incarnation}'
 
 
-def write_period(least_s, instances):
+def write_interval_s(least_s, instances):
     """Returns how often an instance writes its totals.
 
     The period grows with the number of instances, so that all of them
