--- a/dandelionwinch/listeners.py
+++ b/dandelionwinch/listeners.py
@@ -159,7 +159,7 @@
         except Exception:
             logger.bind(request=request_id).exception('request failed')
             exc = errors.DandelionwinchError('an internal error occurred')
-            exc.truth = errors.Truth.UNKNOWN
+            exc.truth = errors.ExecutionStatus.UNKNOWN
             response = error_response(exc, request_id)
         return _send(response, request_id, start_response)
 
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -224,7 +224,7 @@
 
     def _with_truth(self, exc):
         if self._sent:
-            exc.truth = errors.Truth.UNKNOWN
+            exc.truth = errors.ExecutionStatus.UNKNOWN
         return exc
 
     def _failed(self, reason):
