--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -118,7 +118,7 @@
             f'service "{service.name}" gave no answer: {reason}',
             retry_after_s=1.0,
         )
-        exc.truth = errors.ExecutionStatus.UNKNOWN
+        exc.execution = errors.ExecutionStatus.UNKNOWN
         raise exc
 
     def _try(self, call, data_centres, turn, upstream, left_s):
--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -48,5 +48,5 @@
 
 def state_of(exc):
     """Returns the state of a job that ended with an error."""
-    unknown = exc.truth is errors.ExecutionStatus.UNKNOWN
+    unknown = exc.execution is errors.ExecutionStatus.UNKNOWN
     return 'unknown' if unknown else 'refused'
--- a/dandelionwinch/errors.py
+++ b/dandelionwinch/errors.py
@@ -18,7 +18,7 @@
 
     code = 'internal'
     status = 500
-    truth = ExecutionStatus.NOT_RUN
+    execution = ExecutionStatus.NOT_RUN
 
     def __init__(self, message, *, retry_after_s=None):
         super().__init__(message)
@@ -107,7 +107,7 @@
 
     code = 'key_unresolved'
     status = 409
-    truth = ExecutionStatus.UNKNOWN
+    execution = ExecutionStatus.UNKNOWN
 
 
 class UpstreamFailed(DandelionwinchError):
@@ -122,7 +122,7 @@
 
     code = 'outcome_unknown'
     status = 502
-    truth = ExecutionStatus.UNKNOWN
+    execution = ExecutionStatus.UNKNOWN
 
 
 class DeadlinePassed(DandelionwinchError):
--- a/dandelionwinch/listeners.py
+++ b/dandelionwinch/listeners.py
@@ -69,7 +69,7 @@
     error = {
         'code': exc.code,
         'message': exc.message,
-        'truth': str(exc.truth),
+        'truth': str(exc.execution),
         'request_id': request_id,
     }
     if exc.retry_after_s is not None:
@@ -159,7 +159,7 @@
         except Exception:
             logger.bind(request=request_id).exception('request failed')
             exc = errors.DandelionwinchError('an internal error occurred')
-            exc.truth = errors.ExecutionStatus.UNKNOWN
+            exc.execution = errors.ExecutionStatus.UNKNOWN
             response = error_response(exc, request_id)
         return _send(response, request_id, start_response)
 
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/relay.py
@@ -224,7 +224,7 @@
 
     def _with_truth(self, exc):
         if self._sent:
-            exc.truth = errors.ExecutionStatus.UNKNOWN
+            exc.execution = errors.ExecutionStatus.UNKNOWN
         return exc
 
     def _failed(self, reason):
