--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/calls.py
@@ -262,7 +262,7 @@
                 raise errors.Overloaded(
                     'the record of keys is full', retry_after_s=60.0
                 )
-        raise errors.StoreDown(
+        raise errors.StoreUnavailable(
             'the store was not reached, so the call was not sent',
             retry_after_s=2.0,
         )
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -117,7 +117,7 @@
     async def _shard_rows(self, table):
         reply = await self._core.execute(effects.Scan('shards/'))
         if not isinstance(reply, effects.Scanned):
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 f'table "{table}" is in the store, which was not reached'
             )
         rows = []
@@ -145,7 +145,7 @@
     async def _claim_rows(self):
         held = await self._core.claims.rows()
         if held is None:
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 'table "claims" is in the store, which was not reached'
             )
         return [
@@ -217,7 +217,7 @@
             revision = await core.settings.change(
                 lambda documents: language.edits_of(statement, documents)
             )
-        except errors.StoreDown as exc:
+        except errors.StoreUnavailable as exc:
             if unheld is None:
                 raise
             return self._held_only(statement, unheld, exc)
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -183,7 +183,7 @@
                     'the store did not answer; the change may be in force '
                     'soon: ask "show settings" before trying again'
                 )
-        raise errors.StoreDown(
+        raise errors.StoreUnavailable(
             'the store was not reached; nothing was changed',
             retry_after_s=5.0,
         )
--- a/dandelionwinch/errors.py
+++ b/dandelionwinch/errors.py
@@ -75,7 +75,7 @@
     status = 503
 
 
-class StoreDown(DandelionwinchError):
+class StoreUnavailable(DandelionwinchError):
     """The platform's store did not answer, so nothing was started."""
 
     code = 'store_unavailable'
