--- a/dandelionwinch/jobs/_requests.py
+++ b/dandelionwinch/jobs/_requests.py
@@ -69,7 +69,7 @@
         body,
         model,
         stream,
-        utils.count_tokens(text),
+        utils.estimate_tokens(text),
         _whole(body, 'max_tokens', DEFAULT_MAX_TOKENS, 1, MAX_TOKENS_LIMIT),
         utils.stable_hash(model, text[:PREFIX_CHARACTERS]),
         _whole(body, 'priority', 0, LEAST_PRIORITY, MOST_PRIORITY),
--- a/dandelionwinch/standins/upstream.py
+++ b/dandelionwinch/standins/upstream.py
@@ -149,13 +149,13 @@
         if body.get('continue_final_message'):
             partial = messages.pop()['content']
         job.prompt = json.dumps(messages, sort_keys=True)
-        job.prefill = utils.count_tokens(job.prompt)
-        job.first = utils.count_tokens(partial)
+        job.prefill = utils.estimate_tokens(job.prompt)
+        job.first = utils.estimate_tokens(partial)
     else:
         # A continued text looks like any prompt: the answer depends on
         # the first word and on the number of words so far.
         job.prompt = body['prompt'].split()[0]
-        job.prefill = utils.count_tokens(body['prompt'])
+        job.prefill = utils.estimate_tokens(body['prompt'])
         job.first = job.prefill
     job.tokens += job.first
     if transfer.get('do_remote_prefill'):
--- a/dandelionwinch/utils.py
+++ b/dandelionwinch/utils.py
@@ -59,7 +59,7 @@
     return hashlib.blake2b(data, digest_size=16).hexdigest()
 
 
-def count_tokens(text):
+def estimate_tokens(text):
     """Estimates the number of tokens of a text.
 
     Engines tokenize for themselves; placement only needs the size.
