--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -158,7 +158,7 @@
             The new revision.
 
         Raises:
-            StoreDown: If the store was not reached.
+            StoreUnavailable: If the store was not reached.
             OutcomeUnknown: If it may or may not have been written.
             SettingsInvalid: With all findings.
         """
