--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -4,12 +4,12 @@
 
 import loguru
 
-from dandelionwinch import calls
 from dandelionwinch import daemon
 from dandelionwinch.daemon import messages
 from dandelionwinch import errors
 from dandelionwinch import listeners
 from dandelionwinch import relay
+from dandelionwinch import service_relay
 
 OPERATOR_THREADS = 8
 DEFAULT_TEAM = 'default'
@@ -31,7 +31,7 @@
         self._cfg = cfg
         self._core = daemon.Core(cfg)
         self._relay = relay.Relay(self._core)
-        self._calls = calls.Calls(self._core)
+        self._service_relay = service_relay.ServiceRelay(self._core)
         self._clients = listeners.Listener(
             cfg.instance.client_address,
             self._serve_client,
@@ -71,7 +71,7 @@
         """Closes listeners and the core at once."""
         self._clients.close()
         self._operators.close()
-        self._calls.close()
+        self._service_relay.close()
         self._core.close()
         logger.info('stopped')
 
@@ -89,7 +89,9 @@
                 return self._relay.serve(request, team)
             case (_, path) if path.startswith(_SERVICES):
                 name, _, rest = path.removeprefix(_SERVICES).partition('/')
-                return self._calls.serve(request, name, f'/{rest}', team)
+                return self._service_relay.serve(
+                    request, name, f'/{rest}', team
+                )
         raise errors.NotFound(
             f'path "{request.path}" does not exist for {request.method}'
         )
--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/service_relay.py
@@ -23,7 +23,7 @@
 _METHODS = ('GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE')
 
 
-class Calls:
+class ServiceRelay:
     """Serves plain services in the calling worker thread."""
 
     def __init__(self, core):
