--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -22,7 +22,7 @@
 _DONE_EVENT = b'data: [DONE]\n\n'
 
 
-class Relay:
+class CompletionRelay:
     """Serves completions in the calling worker thread."""
 
     def __init__(self, core):
--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -4,11 +4,11 @@
 
 import loguru
 
+from dandelionwinch import completion_relay
 from dandelionwinch import daemon
 from dandelionwinch.daemon import messages
 from dandelionwinch import errors
 from dandelionwinch import listeners
-from dandelionwinch import relay
 from dandelionwinch import service_relay
 
 OPERATOR_THREADS = 8
@@ -30,7 +30,7 @@
     def __init__(self, cfg):
         self._cfg = cfg
         self._core = daemon.Core(cfg)
-        self._relay = relay.Relay(self._core)
+        self._completion_relay = completion_relay.CompletionRelay(self._core)
         self._service_relay = service_relay.ServiceRelay(self._core)
         self._clients = listeners.Listener(
             cfg.instance.client_address,
@@ -86,7 +86,7 @@
             case ('GET', '/v1/models'):
                 return self._models()
             case ('POST', path) if path in _COMPLETIONS:
-                return self._relay.serve(request, team)
+                return self._completion_relay.serve(request, team)
             case (_, path) if path.startswith(_SERVICES):
                 name, _, rest = path.removeprefix(_SERVICES).partition('/')
                 return self._service_relay.serve(
