--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -22,7 +22,7 @@
 _DONE_EVENT = b'data: [DONE]\n\n'
 
 
-class Relay:
+class CompletionRelay:
     """Serves completions in the calling worker thread."""
 
     def __init__(self, core):
@@ -98,7 +98,7 @@
         self._cfg = core.cfg.relay
         self._job_id = job_id
         self.job = job
-        self._assembly = jobs.Assembly()
+        self._assembly = jobs.AnswerAssembly()
         self._deadline = time.monotonic() + self._cfg.deadline_s
         self._started = time.monotonic()
         self._exclude = set()
@@ -155,10 +155,10 @@
         )
         self._target = _Target(placed, self._generation)
         self._resumes = 0
-        return self._assembly.carry_on()
+        return self._assembly.start_continuation()
 
     def _call(self):
-        body = jobs.with_partial(
+        body = jobs.continuation_body(
             self.job, self._assembly_text(), self._assembly.tokens
         )
         placed = self._target.placed
@@ -224,7 +224,7 @@
 
     def _with_truth(self, exc):
         if self._sent:
-            exc.truth = errors.Truth.UNKNOWN
+            exc.execution = errors.ExecutionStatus.UNKNOWN
         return exc
 
     def _failed(self, reason):
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -117,7 +117,7 @@
     async def _shard_rows(self, table):
         reply = await self._core.execute(effects.Scan('shards/'))
         if not isinstance(reply, effects.Scanned):
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 f'table "{table}" is in the store, which was not reached'
             )
         rows = []
@@ -145,7 +145,7 @@
     async def _claim_rows(self):
         held = await self._core.claims.rows()
         if held is None:
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 'table "claims" is in the store, which was not reached'
             )
         return [
@@ -161,7 +161,7 @@
         ]
 
     def _own_job(self, job_id):
-        record = self._core.scheduler.book.get(job_id)
+        record = self._core.scheduler.job_history.get(job_id)
         if record is None:
             return []
         return [
@@ -217,7 +217,7 @@
             revision = await core.settings.change(
                 lambda documents: language.edits_of(statement, documents)
             )
-        except errors.StoreDown as exc:
+        except errors.StoreUnavailable as exc:
             if unheld is None:
                 raise
             return self._held_only(statement, unheld, exc)
@@ -264,7 +264,7 @@
     async def _await_acceptance(self, revision, asked_at):
         core = self._core
         data_centres = membership.populated_data_centres(core.not_gone())
-        watch = revisions.AcceptanceWatch(
+        watch = revisions.RolloutTracker(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
@@ -278,7 +278,7 @@
             'accepted': verdict.accepted,
             'revision': revision,
             'seconds': round(core.now() - asked_at, 3),
-            'unconfirmed': list(verdict.missing),
+            'unconfirmed': list(verdict.unconfirmed),
             'message': verdict.reason,
         }
 
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -108,7 +108,7 @@
         """Answers a peer that asks for newer documents."""
         held = self._core.documents
         reply = peer_pb2.DocumentsReply(revision=held.revision)
-        for document in held.after(request.after):
+        for document in held.changed_since(request.after):
             reply.documents.add(
                 path=document.path,
                 revision=document.revision,
@@ -158,7 +158,7 @@
             The new revision.
 
         Raises:
-            StoreDown: If the store was not reached.
+            StoreUnavailable: If the store was not reached.
             OutcomeUnknown: If it may or may not have been written.
             SettingsInvalid: With all findings.
         """
@@ -183,7 +183,7 @@
                     'the store did not answer; the change may be in force '
                     'soon: ask "show settings" before trying again'
                 )
-        raise errors.StoreDown(
+        raise errors.StoreUnavailable(
             'the store was not reached; nothing was changed',
             retry_after_s=5.0,
         )
--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -48,5 +48,5 @@
 
 def final_state(exc):
     """Returns the state of a job that ended with an error."""
-    unknown = exc.truth is errors.Truth.UNKNOWN
+    unknown = exc.execution is errors.ExecutionStatus.UNKNOWN
     return 'unknown' if unknown else 'refused'
--- a/dandelionwinch/jobs/_assembly.py
+++ b/dandelionwinch/jobs/_assembly.py
@@ -5,7 +5,7 @@
     """A piece arrived after one that is missing."""
 
 
-class Assembly:
+class AnswerAssembly:
     """The answer of one job, whatever attempt its pieces come from.
 
     Each attempt has a number. Pieces of a superseded attempt are
@@ -48,7 +48,7 @@
         self.attempt += 1
         return self.attempt
 
-    def carry_on(self):
+    def start_continuation(self):
         """Starts an attempt that continues the text elsewhere."""
         self.attempt += 1
         self._base = self.next_offset
--- a/dandelionwinch/jobs/_requests.py
+++ b/dandelionwinch/jobs/_requests.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Completion:
+class CompletionRequest:
     """A checked request.
 
     Attributes:
@@ -64,12 +64,12 @@
         raise errors.BadRequest('field "stream" is not true or false')
     chat = path == CHAT_PATH
     text = _chat_text(body) if chat else _prompt_text(body)
-    return Completion(
+    return CompletionRequest(
         path,
         body,
         model,
         stream,
-        utils.count_tokens(text),
+        utils.estimate_tokens(text),
         _whole(body, 'max_tokens', DEFAULT_MAX_TOKENS, 1, MAX_TOKENS_LIMIT),
         utils.stable_hash(model, text[:PREFIX_CHARACTERS]),
         _whole(body, 'priority', 0, LEAST_PRIORITY, MOST_PRIORITY),
@@ -117,7 +117,7 @@
     return body.get('n', 1) == 1 and not any(body.get(k) for k in fancy)
 
 
-def with_partial(job, partial, made):
+def continuation_body(job, partial, made):
     """Returns the body that continues a partial answer.
 
     Args:
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -51,11 +51,11 @@
     def outcome(self, key):
         """Answers what became of a key."""
         if not self.asks_by_key:
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         tokens = self.runs.get(key)
         if tokens:
-            return claims.Outcome(claims.Proof.RAN, _Answer(tokens[0]))
-        return claims.Outcome(claims.Proof.NEVER_SEEN)
+            return claims.Outcome(claims.OutcomeStatus.RAN, _Answer(tokens[0]))
+        return claims.Outcome(claims.OutcomeStatus.NEVER_SEEN)
 
 
 class _Instance:
@@ -79,7 +79,9 @@
         self._sequence += 1
         token = f'{self.process.name}#1#{self._sequence}'
         opening = claims.Open(key, token, 'request')
-        program = claims.run_once(opening, False, 2.0, self._record(opening))
+        program = claims.run_at_most_once(
+            opening, False, 2.0, self._record(opening)
+        )
         self._calls[program] = opening
 
         def done(result):
@@ -115,7 +117,7 @@
                 reply(None)
             case claims.SendCall():
                 self._send(opening, reply)
-            case claims.AskOutcome():
+            case claims.QueryOutcome():
                 self.search.ask(opening.key, reply)
 
     def _open(self, mutation, reply):
@@ -166,13 +168,13 @@
     def _resolve_claim(self, claim, clock):
         holder = claim.token.partition('#')[0]
         gone = self.departures.is_gone(holder, 1, clock.now)
-        if not claims.is_unfinished(claim, gone):
+        if not claims.needs_resolution(claim, gone):
             return
 
         def asked(outcome):
-            state = claims.resolution(
+            state = claims.resolved_state(
                 claim,
-                outcome.proof,
+                outcome.status,
                 gone,
                 clock.wall - claim.changed,
                 SETTLE_S,
@@ -247,11 +249,11 @@
                     self._told_done.add(key)
                 case claims.NotRun():
                     self._not_run[token] = key
-                case claims.Known(
+                case claims.NotGranted(
                     result=claims.Unreached() | claims.Unsettled()
                 ):
                     self._not_run[token] = key
-                case claims.Known(result=claims.Held(claim=claim)):
+                case claims.NotGranted(result=claims.Held(claim=claim)):
                     if claim.state is claims.State.DONE:
                         self._told_done.add(key)
 
@@ -278,17 +280,17 @@
         world = self.world
         match world.rng.randrange(10):
             case 0:
-                world.after(0.01, reply, claims.Sent(False, None, True))
+                world.after(0.01, reply, claims.SendResult(False, None, True))
             case 1:
                 world.faults.late_messages += 1
                 delay_s = CONNECTION_WORST_S * world.rng.random()
                 world.after(delay_s, self._run, opening)
-                world.after(5.0, reply, claims.Sent(True))
+                world.after(5.0, reply, claims.SendResult(True))
             case 2:
                 world.after(0.01, self._run, opening)
-                world.after(5.0, reply, claims.Sent(True))
+                world.after(5.0, reply, claims.SendResult(True))
             case 3:
-                world.after(5.0, reply, claims.Sent(True))
+                world.after(5.0, reply, claims.SendResult(True))
             case _:
                 world.after(0.01, self._run_and_answer, opening, reply)
 
@@ -297,13 +299,13 @@
 
     def _run_and_answer(self, opening, reply):
         answer = self._run(opening)
-        self.world.after(0.01, reply, claims.Sent(True, answer))
+        self.world.after(0.01, reply, claims.SendResult(True, answer))
 
     def ask(self, key, reply):
         """Asks the back end what became of a key."""
         world = self.world
         if world.chance(0.1):
-            outcome = claims.Outcome(claims.Proof.CANNOT_SAY)
+            outcome = claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
             world.after(2.0, reply, outcome)
             return
         world.after(0.01, reply, self.back_end.outcome(key))
--- a/dandelionwinch/search/_settings.py
+++ b/dandelionwinch/search/_settings.py
@@ -142,7 +142,7 @@
 
         def arrive():
             held = peer.documents
-            documents = held.after(caller.documents.revision)
+            documents = held.changed_since(caller.documents.revision)
             caller.process.soon(
                 _world.LATENCY_S, caller.adopt, held.revision, documents
             )
@@ -169,7 +169,7 @@
             self._commits[result.revision] = self.world.now
             peer.fetch()
             data_centres = membership.populated_data_centres(peer.remaining())
-            watch = revisions.AcceptanceWatch(
+            watch = revisions.RolloutTracker(
                 result.revision, data_centres, self.timing.cut_off_s
             )
             self._await(peer, watch, result.revision, peer.now())
--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/service_relay.py
@@ -23,7 +23,7 @@
 _METHODS = ('GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE')
 
 
-class Calls:
+class ServiceRelay:
     """Serves plain services in the calling worker thread."""
 
     def __init__(self, core):
@@ -120,7 +120,7 @@
             f'service "{service.name}" gave no answer: {reason}',
             retry_after_s=1.0,
         )
-        exc.truth = errors.Truth.UNKNOWN
+        exc.execution = errors.ExecutionStatus.UNKNOWN
         raise exc
 
     def _try(self, call, data_centres, turn, upstream, left_s):
@@ -189,7 +189,7 @@
         Raises:
             DandelionwinchError: With what is known of the call.
         """
-        program = claims.run_once(
+        program = claims.run_at_most_once(
             self._opening,
             self._service.dedupes_by_key,
             self._core.cfg.claims.send_window_s,
@@ -199,7 +199,7 @@
         match result:
             case claims.Done(answer=answer):
                 return answer, {}
-            case claims.Known(result=held):
+            case claims.NotGranted(result=held):
                 return self._known(held)
             case claims.NotRun(reason=reason):
                 raise errors.NoUpstream(
@@ -218,7 +218,7 @@
                 return self._core.request(messages.OpenClaim(mutation))
             case claims.SendCall():
                 return self._send()
-            case claims.AskOutcome():
+            case claims.QueryOutcome():
                 return self._ask_outcome()
             case claims.CloseClaim(mutation=mutation):
                 return self._core.request(messages.CloseClaim(mutation))
@@ -231,25 +231,25 @@
             upstream.address, self._call, self._service.deadline_s
         )
         if _is_good(answer):
-            return claims.Sent(True, answer)
+            return claims.SendResult(True, answer)
         self._core.request(
             messages.UpstreamFailed(
                 self._call.request_id, upstream.name, _reason(answer)
             )
         )
         reached = not isinstance(answer, service_adapter.NotSent)
-        return claims.Sent(reached, None, bool(self._upstreams))
+        return claims.SendResult(reached, None, bool(self._upstreams))
 
     def _ask_outcome(self):
         if not self._service.asks_by_key:
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         found = self._core.services.outcome(
             self._upstream.address, self._call.key
         )
         if not isinstance(found, service_adapter.Ran):
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         answer = service_adapter.Answered(200, found.body, 'application/json')
-        return claims.Outcome(claims.Proof.RAN, answer)
+        return claims.Outcome(claims.OutcomeStatus.RAN, answer)
 
     def _known(self, result):
         match result:
@@ -264,7 +264,7 @@
                 raise errors.Overloaded(
                     'the record of keys is full', retry_after_s=60.0
                 )
-        raise errors.StoreDown(
+        raise errors.StoreUnavailable(
             'the store was not reached, so the call was not sent',
             retry_after_s=2.0,
         )
@@ -292,10 +292,12 @@
         return answer, headers
 
     def _record(self, answer):
-        return claims.close_done(
+        return claims.close_with_answer(
             self._opening.key,
             self._opening.token,
-            claims.Kept(answer.status, answer.content_type, answer.body),
+            claims.StoredAnswer(
+                answer.status, answer.content_type, answer.body
+            ),
             self._core.cfg.claims.max_kept_answer_bytes,
         )
 
