--- a/dandelionwinch/attempts/_budget.py
+++ b/dandelionwinch/attempts/_budget.py
@@ -7,7 +7,7 @@
 SLACK_SHARE = 0.7
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """One instance's part of the retry budget of all services.
 
     Each instance earns the allowed ratio of the requests it received
@@ -34,7 +34,7 @@
         self._requests = {}
         self._retries = {}
 
-    def received(self, service, now):
+    def record_request(self, service, now):
         """Notes a caller's request for a service."""
         self._add(self._requests, service, now)
         self._grown(now)
--- a/dandelionwinch/claims/_once.py
+++ b/dandelionwinch/claims/_once.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class AskOutcome:
+class QueryOutcome:
     """Asks the back end by key; the reply is an Outcome."""
 
 
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SendResult:
     """What became of a send.
 
     Attributes:
@@ -50,7 +50,7 @@
 class Outcome:
     """What the back end says of a key, with its answer if it ran."""
 
-    proof: _resolve.Proof
+    status: _resolve.OutcomeStatus
     answer: object = None
 
 
@@ -74,13 +74,13 @@
 
 
 @attrs.frozen
-class Known:
+class NotGranted:
     """Result: the key was refused or claimed before."""
 
     result: object
 
 
-def run_once(opening, dedupes_by_key, window_s, record):
+def run_at_most_once(opening, dedupes_by_key, window_s, record):
     """Claims a key, sends the call and records the outcome.
 
     The claim is in the store before the first byte is sent, and it is
@@ -103,7 +103,7 @@
             result, _bucket.Held | _bucket.Expired | _bucket.Full
         )
         if not (unreached and dedupes_by_key):
-            return Known(result)
+            return NotGranted(result)
     more = True
     while more:
         clock = yield effects.Clock()
@@ -121,7 +121,7 @@
 def _conclude(opening, claimed, sent, record):
     answer = sent.answer
     if answer is None:
-        outcome = yield AskOutcome()
+        outcome = yield QueryOutcome()
         answer = outcome.answer
     if answer is not None:
         if claimed:
--- a/dandelionwinch/relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -22,7 +22,7 @@
 _DONE_EVENT = b'data: [DONE]\n\n'
 
 
-class Relay:
+class CompletionRelay:
     """Serves completions in the calling worker thread."""
 
     def __init__(self, core):
@@ -40,10 +40,10 @@
         """
         core = self._core
         job = jobs.parse_completion(request.path, request.body)
-        core.ask(messages.Admit(request.id, team, job.model))
+        core.request(messages.Admit(request.id, team, job.model))
 
         def finish(state, code, tokens):
-            core.ask(messages.Finish(request.id, state, code, tokens))
+            core.request(messages.Finish(request.id, state, code, tokens))
 
         answer = _Answer(core, request.id, job)
         try:
@@ -51,7 +51,7 @@
                 return self._streamed(request, answer, finish)
             return self._whole(request, answer, finish)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
@@ -65,7 +65,7 @@
         return listeners.Response(
             content_type=EVENT_STREAM,
             headers={'Cache-Control': 'no-store'},
-            chunks=delivery.Delivery(chunks, finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks, finish, answer.tokens),
         )
 
     @staticmethod
@@ -77,7 +77,7 @@
 
         return listeners.Response(
             headers={'Content-Length': str(len(body))},
-            chunks=delivery.Delivery(chunks(), finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks(), finish, answer.tokens),
         )
 
 
@@ -85,7 +85,7 @@
 class _Target:
     """The upstream of the present attempt."""
 
-    placed: messages.Placed
+    placed: messages.Placement
     generation: int
     transfer: dict | None = None
 
@@ -98,7 +98,7 @@
         self._cfg = core.cfg.relay
         self._job_id = job_id
         self.job = job
-        self._assembly = jobs.Assembly()
+        self._assembly = jobs.AnswerAssembly()
         self._deadline = time.monotonic() + self._cfg.deadline_s
         self._started = time.monotonic()
         self._exclude = set()
@@ -148,17 +148,17 @@
         if self._target is not None:
             return self._assembly.resume()
         self._generation += 1
-        placed = self._core.ask(
-            messages.DataCentre(
+        placed = self._core.request(
+            messages.PlaceCompletion(
                 self._job_id, self.job, frozenset(self._exclude)
             )
         )
         self._target = _Target(placed, self._generation)
         self._resumes = 0
-        return self._assembly.carry_on()
+        return self._assembly.start_continuation()
 
     def _call(self):
-        body = jobs.with_partial(
+        body = jobs.continuation_body(
             self.job, self._assembly_text(), self._assembly.tokens
         )
         placed = self._target.placed
@@ -224,7 +224,7 @@
 
     def _with_truth(self, exc):
         if self._sent:
-            exc.truth = errors.Truth.UNKNOWN
+            exc.execution = errors.ExecutionStatus.UNKNOWN
         return exc
 
     def _failed(self, reason):
@@ -264,10 +264,14 @@
 
     def _blame(self, upstream, reason):
         self._exclude.add(upstream)
-        self._core.ask(messages.UpstreamFailed(self._job_id, upstream, reason))
+        self._core.request(
+            messages.UpstreamFailed(self._job_id, upstream, reason)
+        )
 
     def _spend_retry(self, reason):
-        if not self._core.ask(messages.Retry(self._job_id, self.job.model)):
+        if not self._core.request(
+            messages.Retry(self._job_id, self.job.model)
+        ):
             raise self._failed(f'no retries are left after: {reason}')
 
     def _cancel(self):
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_operators.py
@@ -105,7 +105,7 @@
         core = self._core
         request = peer_pb2.EventsRequest(limit=EVENTS_PER_INSTANCE)
         replies = await core.peers.all('Events', request)
-        rings = [core.ring.latest(EVENTS_PER_INSTANCE)]
+        rings = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
         silent = []
         for name, reply in replies.items():
             if reply is None:
@@ -117,7 +117,7 @@
     async def _shard_rows(self, table):
         reply = await self._core.execute(effects.Scan('shards/'))
         if not isinstance(reply, effects.Scanned):
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 f'table "{table}" is in the store, which was not reached'
             )
         rows = []
@@ -145,7 +145,7 @@
     async def _claim_rows(self):
         held = await self._core.claims.rows()
         if held is None:
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 'table "claims" is in the store, which was not reached'
             )
         return [
@@ -161,7 +161,7 @@
         ]
 
     def _own_job(self, job_id):
-        record = self._core.work.book.get(job_id)
+        record = self._core.scheduler.job_history.get(job_id)
         if record is None:
             return []
         return [
@@ -189,19 +189,19 @@
         if upstream is None:
             raise errors.NotFound(f'upstream "{name}" does not exist')
         row = next(r for r in _tables.upstream_rows(core) if r['name'] == name)
-        belief = core.work.beliefs.get(name)
-        if belief is not None:
+        estimate = core.scheduler.estimates.get(name)
+        if estimate is not None:
             now = core.now()
             model = core.catalog.get('pool', upstream.pool).model
             gap_s = core.catalog.get('model', model).token_gap_s
-            speed = belief.prefill_speed(gap_s)
-            row['believed_decoding'] = belief.decoding()
-            row['believed_slots'] = belief.slots(gap_s)
+            speed = estimate.prefill_speed(gap_s)
+            row['believed_decoding'] = estimate.decoding()
+            row['believed_slots'] = estimate.slots(gap_s)
             row['believed_prefill_tokens_per_s'] = round(speed)
             row['believed_backlog_tokens'] = round(
-                belief.backlog(now, max(1.0, speed))
+                estimate.backlog(now, max(1.0, speed))
             )
-            row['placed_since_report'] = len(belief.sent)
+            row['placed_since_report'] = len(estimate.sent)
         return {'columns': list(row), 'rows': [row]}
 
     async def _command(self, statement):
@@ -217,7 +217,7 @@
             revision = await core.settings.change(
                 lambda documents: language.edits_of(statement, documents)
             )
-        except errors.StoreDown as exc:
+        except errors.StoreUnavailable as exc:
             if unheld is None:
                 raise
             return self._held_only(statement, unheld, exc)
@@ -229,7 +229,7 @@
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
             return
-        names = {known.name for known in self._core.members.everyone()}
+        names = {known.name for known in self._core.members.all_instances()}
         if statement.name not in names:
             raise errors.NotFound(
                 f'instance "{statement.name}" does not exist'
@@ -263,13 +263,13 @@
 
     async def _await_acceptance(self, revision, asked_at):
         core = self._core
-        data_centres = membership.staffed_data_centres(core.not_gone())
-        watch = revisions.AcceptanceWatch(
+        data_centres = membership.populated_data_centres(core.not_gone())
+        watch = revisions.RolloutTracker(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
             now = core.now()
-            core.members.me.revision = core.documents.revision
+            core.members.local.revision = core.documents.revision
             verdict = watch.observe(core.not_gone(), now)
             if verdict.accepted or now - asked_at > ACCEPT_TIMEOUT_S:
                 break
@@ -278,7 +278,7 @@
             'accepted': verdict.accepted,
             'revision': revision,
             'seconds': round(core.now() - asked_at, 3),
-            'unconfirmed': list(verdict.missing),
+            'unconfirmed': list(verdict.unconfirmed),
             'message': verdict.reason,
         }
 
--- a/dandelionwinch/daemon/messages.py
+++ b/dandelionwinch/daemon/messages.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class DataCentre:
+class PlaceCompletion:
     """Asks where a completion runs.
 
     Attributes:
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class Placed:
+class Placement:
     """Reply: where a completion runs.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class ServicePlaces:
+class ServicePlacement:
     """Reply: the service's rules and its upstreams, best first."""
 
     service: object
@@ -113,12 +113,12 @@
 
 
 @attrs.frozen
-class Ask:
+class RunStatement:
     """A statement of the operators' language."""
 
     text: str
 
 
 @attrs.frozen
-class Health:
+class CheckReadiness:
     """Asks whether the instance takes new work."""
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -1,4 +1,4 @@
-"""Connection pools and beliefs of the upstreams, kept in step."""
+"""Connection pools and the registry of upstreams, kept in step."""
 
 from dandelionwinch.gateway import _pool
 from dandelionwinch import upstreams
@@ -11,19 +11,26 @@
 class Fleet:
     """The upstreams as one instance uses them."""
 
-    __slots__ = ('_loop', '_pools', 'beliefs', 'parts', 'table', 'typical')
+    __slots__ = (
+        '_loop',
+        '_pools',
+        'registry',
+        'instance_count',
+        'table',
+        'latency_baseline',
+    )
 
     def __init__(self, loop):
         self._loop = loop
         self._pools = {}
-        self.beliefs = upstreams.Beliefs()
-        self.parts = 1.0
+        self.registry = upstreams.Registry()
+        self.instance_count = 1.0
         self.table = None
-        self.typical = upstreams.Typical()
+        self.latency_baseline = upstreams.LatencyBaseline()
 
-    def pool(self, belief):
+    def pool(self, upstream):
         """Returns the connections to one incarnation of an upstream."""
-        entry = belief.entry
+        entry = upstream.entry
         key = (entry.id, entry.born, entry.address)
         pool = self._pools.get(key)
         limit = self._limit(entry.service)
@@ -36,14 +43,14 @@
     def _limit(self, service):
         known = self.table.services.get(service) if self.table else None
         most = known.max_connections if known else DEFAULT_CONNECTIONS
-        return max(2, int(most * CONNECTION_SHARE / self.parts))
+        return max(2, int(most * CONNECTION_SHARE / self.instance_count))
 
     def sweep(self, now):
         """Closes idle connections and those to upstreams that are gone."""
-        self.beliefs.forget(now, FORGET_S)
+        self.registry.forget(now, FORGET_S)
         serving = {
             (b.entry.id, b.entry.born, b.entry.address)
-            for b in self.beliefs
+            for b in self.registry
             if b.gone_at is None
         }
         for key, pool in list(self._pools.items()):
--- a/dandelionwinch/jobs/__init__.py
+++ b/dandelionwinch/jobs/__init__.py
@@ -1,19 +1,19 @@
 """Jobs: requests of clients, their attempts and whole answers."""
 
-from dandelionwinch.jobs._assembly import Assembly
+from dandelionwinch.jobs._assembly import AnswerAssembly
 from dandelionwinch.jobs._assembly import StreamGap
-from dandelionwinch.jobs._book import JobBook
+from dandelionwinch.jobs._book import JobHistory
 from dandelionwinch.jobs._book import JobRecord
-from dandelionwinch.jobs._requests import Completion
+from dandelionwinch.jobs._requests import CompletionRequest
+from dandelionwinch.jobs._requests import continuation_body
 from dandelionwinch.jobs._requests import parse_completion
-from dandelionwinch.jobs._requests import with_partial
 
 __all__ = [
-    'Assembly',
-    'Completion',
-    'JobBook',
+    'AnswerAssembly',
+    'CompletionRequest',
+    'JobHistory',
     'JobRecord',
     'StreamGap',
+    'continuation_body',
     'parse_completion',
-    'with_partial',
 ]
--- a/dandelionwinch/limits/_admission.py
+++ b/dandelionwinch/limits/_admission.py
@@ -38,7 +38,7 @@
         self._peers = {}
         self.jobs = 0
 
-    def peer_uses(self, peer, uses, now):
+    def record_peer_rates(self, peer, uses, now):
         """Takes in how much of each team's limit a peer used.
 
         Args:
@@ -48,7 +48,7 @@
         """
         self._peers[peer] = (now, uses)
 
-    def uses(self, now):
+    def rates_by_team(self, now):
         """Returns this instance's jobs per second by team."""
         rates = {}
         for team, bucket in self._buckets.items():
@@ -137,7 +137,7 @@
         """Returns the names of the teams that have jobs here."""
         return [name for name, b in self._buckets.items() if b.jobs]
 
-    def finish(self, team_name):
+    def release(self, team_name):
         """Gives a job's place back."""
         bucket = self._buckets.get(team_name)
         if bucket is not None and bucket.jobs > 0:
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -34,13 +34,13 @@
     output_tokens: int
     prefix: int
     prefix_tokens: int
-    patience_s: float
+    max_wait_s: float
     gap_s: float
     exclude: frozenset = frozenset()
 
 
 @attrs.frozen
-class Site:
+class CandidatePool:
     """The upstreams of one pool, and how far away they are.
 
     Attributes:
@@ -50,7 +50,7 @@
 
     name: str
     upstreams: tuple[str, ...]
-    extra_s: float
+    link_cost_s: float
 
 
 @attrs.frozen
@@ -91,11 +91,11 @@
     own_s: float
     speed: float
     hit: float
-    extra_s: float
+    link_cost_s: float
 
     @property
     def total_s(self):
-        return self.wait_s + self.own_s + self.extra_s
+        return self.wait_s + self.own_s + self.link_cost_s
 
 
 class Placer:
@@ -118,7 +118,7 @@
         self._peers = None
         self._mean_tokens = 1000.0
         self._mean_output = 200.0
-        self.prefixes = _prefixes.Prefixes()
+        self.prefixes = _prefixes.PrefixIndex()
 
     def set_peer_rates(self, rates):
         """Notes what all other instances send together.
@@ -154,14 +154,14 @@
                 continue
             if best is None or option.total_s < best.total_s:
                 best = option
-            if best.total_s <= demand.patience_s / 2:
+            if best.total_s <= demand.max_wait_s / 2:
                 break
         if best is None:
             return Refusal('no upstream takes this work at present', 1.0)
-        if best.total_s > demand.patience_s:
+        if best.total_s > demand.max_wait_s:
             return Refusal(
                 f'the first token would take {best.total_s:.2f} s',
-                round(max(0.1, best.total_s - demand.patience_s), 2),
+                round(max(0.1, best.total_s - demand.max_wait_s), 2),
             )
         return self._commit(best, demand, now, sites)
 
@@ -253,7 +253,7 @@
         backlog = belief.backlog(now, speed, inflow * speed)
         wait_s = backlog / speed
         own_s = (demand.prompt_tokens - hit) / speed
-        return _Option(belief, wait_s, own_s, speed, hit, site.extra_s)
+        return _Option(belief, wait_s, own_s, speed, hit, site.link_cost_s)
 
     def _draw(self, options, arriving, now):
         index = _filling.choose_filling(
@@ -282,7 +282,7 @@
             belief.name, now, tokens, kv_tokens if stays else 0.0, stays
         )
         self._note_own(option, demand, sites, tokens, now)
-        self.prefixes.learn(
+        self.prefixes.record(
             demand.prefix, belief.name, demand.prefix_tokens, now
         )
         decode = belief.name
@@ -293,7 +293,7 @@
             first_s += HANDOVER_S
         terms = (
             f'wait {option.wait_s:.3f} s, prefill {option.own_s:.3f} s, '
-            f'distance {option.extra_s:.3f} s, cached {option.hit:.0f} of '
+            f'distance {option.link_cost_s:.3f} s, cached {option.hit:.0f} of '
             f'{demand.prompt_tokens} tokens, role {belief.role}, '
             f'{belief.decoding()} decoding'
         )
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -12,9 +12,9 @@
 
 from dandelionwinch import control
 from dandelionwinch.platform import _boot
-from dandelionwinch.platform import _catalogue
-from dandelionwinch.platform import _dialect
 from dandelionwinch.platform import _store
+from dandelionwinch.platform import _store_codec
+from dandelionwinch.platform import _wire_codec
 
 METRICS_PORT = 9464
 _JSON = (('Content-Type', 'application/json'),)
@@ -31,8 +31,8 @@
             loop,
             cfg,
             _store.Store(loop, cfg.store),
-            _dialect.Dialect(),
-            _catalogue.Catalogue(),
+            _wire_codec.WireCodec(),
+            _store_codec.StoreCodec(),
             log,
         )
         add = self.instance.add_server
@@ -47,10 +47,10 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def _ask_ready(self, incoming, caller):
-        caller.answer(200 if self.instance.ready else 503, (), b'')
+        caller.respond(200 if self.instance.ready else 503, (), b'')
 
     async def _metrics(self, incoming, caller):
-        caller.answer(200, (), self.instance.metrics())
+        caller.respond(200, (), self.instance.metrics())
 
     async def _resolve(self, incoming, caller):
         query = urllib.parse.parse_qs(incoming.head.target.partition('?')[2])
@@ -58,10 +58,10 @@
             query.get('zone', [''])[0], query.get('region', [''])[0]
         )
         if not found:
-            caller.answer(503, (), b'no instance is known')
+            caller.respond(503, (), b'no instance is known')
             return
         body = json.dumps({'addresses': found, 'ttlS': ttl_s})
-        caller.answer(200, _JSON, body.encode())
+        caller.respond(200, _JSON, body.encode())
 
     def reload(self):
         """Reads the settings again; addresses stay until a restart."""
--- a/dandelionwinch/routes/__init__.py
+++ b/dandelionwinch/routes/__init__.py
@@ -1,19 +1,19 @@
 """Routes of callers' requests to services, by revision of a configuration."""
 
-from dandelionwinch.routes._table import Engine
+from dandelionwinch.routes._table import EngineSpec
 from dandelionwinch.routes._table import Limits
-from dandelionwinch.routes._table import Repeat
+from dandelionwinch.routes._table import RetryPolicy
 from dandelionwinch.routes._table import Route
 from dandelionwinch.routes._table import RouteTable
 from dandelionwinch.routes._table import Service
-from dandelionwinch.routes._table import Share
+from dandelionwinch.routes._table import TrafficShare
 
 __all__ = [
-    'Engine',
+    'EngineSpec',
     'Limits',
-    'Repeat',
+    'RetryPolicy',
     'Route',
     'RouteTable',
     'Service',
-    'Share',
+    'TrafficShare',
 ]
--- a/dandelionwinch/calls.py
+++ b/dandelionwinch/service_relay.py
@@ -23,7 +23,7 @@
 _METHODS = ('GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE')
 
 
-class Calls:
+class ServiceRelay:
     """Serves plain services in the calling worker thread."""
 
     def __init__(self, core):
@@ -53,15 +53,15 @@
             raise errors.BadRequest(
                 f'method "{request.method}" is not supported'
             )
-        core.ask(messages.Admit(request.id, team, name))
+        core.request(messages.Admit(request.id, team, name))
 
         def finish(state, code, tokens):
-            core.ask(messages.Finish(request.id, state, code, tokens))
+            core.request(messages.Finish(request.id, state, code, tokens))
 
         try:
             answer, headers = self._call(request, name, path)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
@@ -69,7 +69,9 @@
         return _response(answer, headers, finish)
 
     def _call(self, request, name, path):
-        data_centres = self._core.ask(messages.PlaceService(request.id, name))
+        data_centres = self._core.request(
+            messages.PlaceService(request.id, name)
+        )
         service = data_centres.service
         once = service.repeat is settings.Repeat.ONCE
         key = request.header('idempotency-key')
@@ -103,7 +105,7 @@
             left_s = deadline - time.monotonic()
             if left_s <= 0:
                 break
-            if turn and not self._core.ask(
+            if turn and not self._core.request(
                 messages.Retry(call.request_id, service.name)
             ):
                 break
@@ -111,14 +113,14 @@
             if _is_good(answer):
                 return answer
             reason = _reason(answer)
-            self._core.ask(
+            self._core.request(
                 messages.UpstreamFailed(call.request_id, upstream.name, reason)
             )
         exc = errors.UpstreamFailed(
             f'service "{service.name}" gave no answer: {reason}',
             retry_after_s=1.0,
         )
-        exc.truth = errors.Truth.UNKNOWN
+        exc.execution = errors.ExecutionStatus.UNKNOWN
         raise exc
 
     def _try(self, call, data_centres, turn, upstream, left_s):
@@ -136,7 +138,7 @@
         done, _rest = concurrent.futures.wait([first], HEDGE_DELAY_S)
         if done:
             return first.result()
-        if not self._core.ask(
+        if not self._core.request(
             messages.Retry(call.request_id, self._target(call))
         ):
             return first.result()
@@ -187,7 +189,7 @@
         Raises:
             DandelionwinchError: With what is known of the call.
         """
-        program = claims.run_once(
+        program = claims.run_at_most_once(
             self._opening,
             self._service.dedupes_by_key,
             self._core.cfg.claims.send_window_s,
@@ -197,7 +199,7 @@
         match result:
             case claims.Done(answer=answer):
                 return answer, {}
-            case claims.Known(result=held):
+            case claims.NotGranted(result=held):
                 return self._known(held)
             case claims.NotRun(reason=reason):
                 raise errors.NoUpstream(
@@ -213,13 +215,13 @@
     def _execute(self, request):
         match request:
             case claims.OpenClaim(mutation=mutation):
-                return self._core.ask(messages.OpenClaim(mutation))
+                return self._core.request(messages.OpenClaim(mutation))
             case claims.SendCall():
                 return self._send()
-            case claims.AskOutcome():
+            case claims.QueryOutcome():
                 return self._ask_outcome()
             case claims.CloseClaim(mutation=mutation):
-                return self._core.ask(messages.CloseClaim(mutation))
+                return self._core.request(messages.CloseClaim(mutation))
         raise TypeError(f'"{request!r}" is not a request of a call')
 
     def _send(self):
@@ -229,25 +231,25 @@
             upstream.address, self._call, self._service.deadline_s
         )
         if _is_good(answer):
-            return claims.Sent(True, answer)
-        self._core.ask(
+            return claims.SendResult(True, answer)
+        self._core.request(
             messages.UpstreamFailed(
                 self._call.request_id, upstream.name, _reason(answer)
             )
         )
         reached = not isinstance(answer, service_adapter.NotSent)
-        return claims.Sent(reached, None, bool(self._upstreams))
+        return claims.SendResult(reached, None, bool(self._upstreams))
 
     def _ask_outcome(self):
         if not self._service.asks_by_key:
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         found = self._core.services.outcome(
             self._upstream.address, self._call.key
         )
         if not isinstance(found, service_adapter.Ran):
-            return claims.Outcome(claims.Proof.CANNOT_SAY)
+            return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         answer = service_adapter.Answered(200, found.body, 'application/json')
-        return claims.Outcome(claims.Proof.RAN, answer)
+        return claims.Outcome(claims.OutcomeStatus.RAN, answer)
 
     def _known(self, result):
         match result:
@@ -262,7 +264,7 @@
                 raise errors.Overloaded(
                     'the record of keys is full', retry_after_s=60.0
                 )
-        raise errors.StoreDown(
+        raise errors.StoreUnavailable(
             'the store was not reached, so the call was not sent',
             retry_after_s=2.0,
         )
@@ -290,10 +292,12 @@
         return answer, headers
 
     def _record(self, answer):
-        return claims.close_done(
+        return claims.close_with_answer(
             self._opening.key,
             self._opening.token,
-            claims.Kept(answer.status, answer.content_type, answer.body),
+            claims.StoredAnswer(
+                answer.status, answer.content_type, answer.body
+            ),
             self._core.cfg.claims.max_kept_answer_bytes,
         )
 
@@ -326,5 +330,5 @@
         answer.status,
         content_type=answer.content_type or 'application/octet-stream',
         headers={**headers, 'Content-Length': str(len(body))},
-        chunks=delivery.Delivery(chunks(), finish, lambda: 1),
+        chunks=delivery.ResponseStream(chunks(), finish, lambda: 1),
     )
--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -1,19 +1,19 @@
 """What one instance believes of the upstreams, and why."""
 
-from dandelionwinch.upstreams._absence import Absence
+from dandelionwinch.upstreams._absence import DeregistrationGuard
 from dandelionwinch.upstreams._beliefs import available
-from dandelionwinch.upstreams._beliefs import Belief
-from dandelionwinch.upstreams._beliefs import Beliefs
 from dandelionwinch.upstreams._beliefs import Entry
+from dandelionwinch.upstreams._beliefs import Registry
 from dandelionwinch.upstreams._beliefs import Role
-from dandelionwinch.upstreams._typical import Typical
+from dandelionwinch.upstreams._beliefs import Upstream
+from dandelionwinch.upstreams._typical import LatencyBaseline
 
 __all__ = [
-    'Absence',
-    'Belief',
-    'Beliefs',
+    'DeregistrationGuard',
     'Entry',
+    'LatencyBaseline',
+    'Registry',
     'Role',
-    'Typical',
+    'Upstream',
     'available',
 ]
