--- a/dandelionwinch/attempts/__init__.py
+++ b/dandelionwinch/attempts/__init__.py
@@ -1,9 +1,15 @@
 """What follows an attempt: another one, or a truthful final answer."""
 
-from dandelionwinch.attempts._budget import SharedBudget
-from dandelionwinch.attempts._verdict import Fate
-from dandelionwinch.attempts._verdict import Final
-from dandelionwinch.attempts._verdict import final_of
-from dandelionwinch.attempts._verdict import may_repeat
+from dandelionwinch.attempts._budget import SharedRetryBudget
+from dandelionwinch.attempts._verdict import AttemptOutcome
+from dandelionwinch.attempts._verdict import final_status
+from dandelionwinch.attempts._verdict import FinalStatus
+from dandelionwinch.attempts._verdict import may_retry
 
-__all__ = ['Fate', 'Final', 'SharedBudget', 'final_of', 'may_repeat']
+__all__ = [
+    'AttemptOutcome',
+    'FinalStatus',
+    'SharedRetryBudget',
+    'final_status',
+    'may_retry',
+]
--- a/dandelionwinch/bench/_capacity.py
+++ b/dandelionwinch/bench/_capacity.py
@@ -208,7 +208,7 @@
     rounds = 200
     started = time.process_time()
     for number in range(rounds):
-        addresses.answer(known, 'data_centre-1', f'team-{number}', 2.0)
+        addresses.assign(known, 'data_centre-1', f'team-{number}', 2.0)
     seconds = (time.process_time() - started) / rounds
     rate = REQUESTS_PER_S * ADDRESS_ANSWERS_PER_REQUEST / NODES
     return 100 * rate * seconds
@@ -226,7 +226,7 @@
 
 def _known_members():
     return [
-        membership.Known(
+        membership.PeerState(
             peer_pb2.Member(
                 name=f'entry-{n}',
                 data_centre=f'data_centre-{n % DATA_CENTRES}',
@@ -307,5 +307,5 @@
 def _ledger():
     ledger = earnings.Ledger('entry-1', 1)
     for number in range(TEAMS):
-        ledger.book(f'job-{number}', f'team-{number}', 10)
+        ledger.record_job(f'job-{number}', f'team-{number}', 10)
     return ledger
--- a/dandelionwinch/control/__init__.py
+++ b/dandelionwinch/control/__init__.py
@@ -2,9 +2,8 @@
 
 from dandelionwinch.control._config import InstanceConfig
 from dandelionwinch.control._instance import Instance
-from dandelionwinch.control._members import Members
+from dandelionwinch.control._registered import RegisteredInstances
 from dandelionwinch.control._registration import Registration
-from dandelionwinch.control._store import Catalogue
 from dandelionwinch.control._store import Conflict
 from dandelionwinch.control._store import EntryInvalid
 from dandelionwinch.control._store import HistoryGone
@@ -12,12 +11,12 @@
 from dandelionwinch.control._store import LeaseEnded
 from dandelionwinch.control._store import Listing
 from dandelionwinch.control._store import Store
+from dandelionwinch.control._store import StoreCodec
 from dandelionwinch.control._store import StoreFailed
 from dandelionwinch.control._store import StoreRefused
-from dandelionwinch.control._sync import Sync
+from dandelionwinch.control._sync import StoreSync
 
 __all__ = [
-    'Catalogue',
     'Conflict',
     'EntryInvalid',
     'HistoryGone',
@@ -26,10 +25,11 @@
     'Item',
     'LeaseEnded',
     'Listing',
-    'Members',
+    'RegisteredInstances',
     'Registration',
     'Store',
+    'StoreCodec',
     'StoreFailed',
     'StoreRefused',
-    'Sync',
+    'StoreSync',
 ]
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -4,9 +4,9 @@
 import random
 
 from dandelionwinch import addresses
-from dandelionwinch.control import _orders
+from dandelionwinch.control import _order_leader
+from dandelionwinch.control import _order_sender
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _steward
 from dandelionwinch.control import _sync
 from dandelionwinch import eventlog
 from dandelionwinch import gateway
@@ -25,24 +25,24 @@
         log: The EventLog.
     """
 
-    def __init__(self, loop, cfg, store, dialect, catalogue, log=None):
+    def __init__(self, loop, cfg, store, wire_codec, store_codec, log=None):
         self._loop = loop
         self._cfg = cfg
         self._store = store
         self.log = log or eventlog.EventLog(cfg.instance)
         self._rng = rng = random.Random()
-        self._gateway = gateway.Gateway(loop, dialect, self.log, cfg, rng)
-        self._sync = _sync.Sync(
+        self._gateway = gateway.Gateway(loop, wire_codec, self.log, cfg, rng)
+        self._sync = _sync.StoreSync(
             loop,
             store,
-            catalogue,
+            store_codec,
             self._gateway,
             cfg.capacity,
             self.log,
             rng,
             self._configured,
         )
-        self._presence = addresses.Presence(
+        self._presence = addresses.InstanceEntry(
             cfg.instance,
             cfg.callers,
             cfg.data_centre,
@@ -54,25 +54,27 @@
             store,
             self.log,
             self._presence,
-            max(_registration.LEASE_S, cfg.least_lease_s),
+            max(_registration.LEASE_S, cfg.min_lease_s),
         )
-        self._steward = _steward.Steward(
+        self._order_leader = _order_leader.OrderLeader(
             loop,
             store,
             self._sync,
             self._gateway,
-            _orders.OrderSender(self._gateway.fleet, dialect, cfg.instance),
+            _order_sender.OrderSender(
+                self._gateway.fleet, wire_codec, cfg.instance
+            ),
             self.log,
             rng,
             cfg,
-            _orders.boot_clock,
+            _order_sender.boot_clock,
         )
         self._servers = {}
         self._callers = gateway.Server(
             loop,
             self._gateway.handle,
             routes.Limits(),
-            self._gateway.refused_early,
+            self._gateway.log_early_refusal,
         )
         if cfg.callers:
             self._servers['callers'] = (cfg.callers, self._callers)
@@ -112,14 +114,16 @@
 
     def _flush(self):
         self.log.flush()
-        self._flusher = self._loop.call_later(eventlog.FLUSH_S, self._flush)
+        self._flusher = self._loop.call_later(
+            eventlog.FLUSH_INTERVAL_S, self._flush
+        )
 
     def _configured(self, table):
         self._callers.limits = table.limits
         if not self._registered and not self._stopping:
             self._registered = True
             self._registration.start()
-            self._steward.start()
+            self._order_leader.start()
 
     @property
     def ready(self):
@@ -153,7 +157,7 @@
         """Ends a planned stop once nothing is left, or time is over."""
         began = self._loop.time()
         self._loop.create_task(self._registration.withdraw())
-        self._loop.create_task(self._steward.resign())
+        self._loop.create_task(self._order_leader.resign())
         self._callers.drain()
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
@@ -173,7 +177,7 @@
         """Stops all tasks and closes all sockets."""
         self._sync.close()
         self._registration.close()
-        self._steward.close()
+        self._order_leader.close()
         self._gateway.close()
         if self._flusher is not None:
             self._flusher.cancel()
--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -19,7 +19,7 @@
 MAX_VIEW_AGE_S = 4.5
 
 
-class Steward:
+class OrderLeader:
     """A task that tries to become the holder and acts while it is.
 
     Its clock must also count suspension of the machine.
@@ -54,8 +54,8 @@
         self._log = log
         self._rng = rng
         self._name = cfg.instance
-        self._ttl_s = max(leadership.LEASE_S, cfg.least_lease_s)
-        self._leadership = leadership.Leadership(cfg.turn_s)
+        self._ttl_s = max(leadership.LEASE_S, cfg.min_lease_s)
+        self._leadership = leadership.Leadership(cfg.handover_s)
         self._lease = 0
         self._next_at = 0.0
         self._task = None
@@ -84,7 +84,7 @@
                     await self._renew()
                     await self._keep_size()
                     await self._act()
-                    await asyncio.sleep(leadership.RENEW_S)
+                    await asyncio.sleep(leadership.RENEW_INTERVAL_S)
                 else:
                     await self._take()
             except _store.StoreFailed as exc:
@@ -114,7 +114,7 @@
             await self._end(self._lease)
             self._lease = 0
             return
-        self._leadership.taken(token, asked_at)
+        self._leadership.acquired(token, asked_at)
         self._log.event('orders.held', token=token)
 
     async def _end(self, lease):
@@ -162,7 +162,7 @@
             change.role.value.encode(),
             self._lease,
         )
-        self._gateway.changing(change.upstream_id, CHANGE_S)
+        self._gateway.begin_role_change(change.upstream_id, CHANGE_S)
         await asyncio.sleep(ANNOUNCE_S)
         await self._renew()
         if self._gateway.fleet.registry.serves(upstream):
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -44,7 +44,7 @@
     """Runs all tasks of an instance in one event loop.
 
     The loop has a thread of its own. Other threads send a message with
-    ``ask`` and wait for its reply; they touch no state themselves.
+    ``request`` and wait for its reply; they touch no state themselves.
     """
 
     def __init__(self, cfg):
@@ -72,12 +72,12 @@
         )
         self.documents = revisions.Documents()
         self.catalog = catalog.EMPTY
-        self.hybrid = timeline.HybridClock(_wall_us)
-        self.ring = timeline.Ring(
-            cfg.instance.name, self.hybrid, cfg.events_kept
+        self.hybrid_clock = timeline.HybridClock(_wall_us)
+        self.event_buffer = timeline.EventBuffer(
+            cfg.instance.name, self.hybrid_clock, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
-        self.work = _work.Work(self)
+        self.scheduler = _work.Scheduler(self)
         self.deciders = _deciders.Deciders(self)
         self.beats = _beats.Beats(self)
         self.settings = _settings.SettingsTask(self)
@@ -154,7 +154,7 @@
                 f'{timeout_s:g} s'
             ) from None
 
-    def ask(self, message, timeout_s=ASK_TIMEOUT_S):
+    def request(self, message, timeout_s=ASK_TIMEOUT_S):
         """Sends a message from another thread and waits for the reply.
 
         Raises:
@@ -182,26 +182,26 @@
     def _handle(self, message):
         match message:
             case messages.Admit():
-                return self.work.admit(message)
-            case messages.DataCentre():
-                return self.work.place(message)
+                return self.scheduler.admit(message)
+            case messages.PlaceCompletion():
+                return self.scheduler.place(message)
             case messages.PlaceService():
-                return self.work.place_service(message)
+                return self.scheduler.place_service(message)
             case messages.UpstreamFailed():
-                return self.work.upstream_failed(message)
+                return self.scheduler.upstream_failed(message)
             case messages.Retry():
-                return self.work.retry(message)
+                return self.scheduler.retry(message)
             case messages.Finish():
-                return self.work.finish(message)
+                return self.scheduler.finish(message)
             case messages.OpenClaim(opening=opening):
                 return self.claims.open(opening)
             case messages.CloseClaim(close=close):
                 return self.claims.close_claim(close)
             case messages.FindAddress(data_centre=data_centre, team=team):
                 return self.find_address(data_centre, team)
-            case messages.Ask(text=text):
+            case messages.RunStatement(text=text):
                 return self.operators.ask(text)
-            case messages.Health():
+            case messages.CheckReadiness():
                 return self.unready_reason()
         raise TypeError(f'"{message!r}" is not a message of the core')
 
@@ -211,7 +211,7 @@
 
     def event(self, kind, subject, detail=''):
         """Records an event of the time line and logs it."""
-        self.ring.add(kind, subject, detail)
+        self.event_buffer.add(kind, subject, detail)
         logger.bind(subject=subject).debug('{} {}', kind, detail)
 
     async def execute(self, request):
@@ -252,7 +252,7 @@
         """Answers which instance a client should use."""
         now = self.now()
         usable = self.members.usable(now)
-        found = addresses.answer(
+        found = addresses.assign(
             usable, data_centre, team, self.cfg.timing.answer_valid_s
         )
         if found is None:
@@ -261,7 +261,9 @@
 
     def not_gone(self):
         """Returns known instances that are not certainly gone."""
-        return self.departures.remaining(self.members.everyone(), self.now())
+        return self.departures.remaining(
+            self.members.all_instances(), self.now()
+        )
 
     def unready_reason(self):
         """Returns why no new work is taken, or an empty string."""
@@ -270,7 +272,10 @@
             return 'this instance is stopping'
         if self.documents.revision == 0:
             return 'this instance has no configuration yet'
-        if self.members.is_suspect(now) and len(self.members.everyone()) > 1:
+        if (
+            self.members.is_suspect(now)
+            and len(self.members.all_instances()) > 1
+        ):
             return 'this instance was paused and has met no peer since'
         if self.is_cut_off():
             return 'this instance is cut off and may hold old settings'
@@ -280,7 +285,7 @@
         """Tells whether new work is refused for lack of contact."""
         if self.cfg.when_cut_off == 'serve':
             return False
-        data_centres = membership.staffed_data_centres(self.not_gone())
+        data_centres = membership.populated_data_centres(self.not_gone())
         return self.freshness.is_cut_off(data_centres, self.now())
 
     def leave(self):
@@ -298,10 +303,10 @@
         grace_s = timing.answer_valid_s + 2 * timing.beat_s
         time.sleep(grace_s)
         limit = time.monotonic() + timing.drain_limit_s
-        while self.work.jobs() and time.monotonic() < limit:
+        while self.scheduler.jobs() and time.monotonic() < limit:
             time.sleep(STOP_STEP_S)
         self.accepting = False
-        while self.work.jobs() and time.monotonic() < limit:
+        while self.scheduler.jobs() and time.monotonic() < limit:
             time.sleep(STOP_STEP_S)
 
     def close(self):
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_loads.py
@@ -108,7 +108,7 @@
         if self._core.catalog.get('upstream', message.upstream) is None:
             return
         self._seen[message.upstream] = _Seen(made_at, message)
-        estimates = self._core.work.estimates
+        estimates = self._core.scheduler.estimates
         if message.failed:
             estimates.failed(message.upstream, self._core.now())
             return
@@ -154,7 +154,7 @@
                 core.event('upstream.held', request.upstream, request.order_id)
             self._holds[key] = core.now() + request.ttl_s
         self._mark_held(request.upstream)
-        jobs = core.work.book.on_upstream(request.upstream)
+        jobs = core.scheduler.job_history.count_on_upstream(request.upstream)
         return peer_pb2.HoldReply(jobs=jobs, instance=core.name)
 
     def is_held(self, upstream):
@@ -162,7 +162,7 @@
         return any(name == upstream for name, _order in self._holds)
 
     def _mark_held(self, upstream):
-        estimate = self._core.work.estimates.get(upstream)
+        estimate = self._core.scheduler.estimates.get(upstream)
         if estimate is not None:
             estimate.held = self.is_held(upstream)
 
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -67,7 +67,7 @@
     async def _poll(self):
         core = self._core
         now = core.now()
-        speaks = core.members.me in core.members.speakers(
+        speaks = core.members.local in core.members.delegates(
             core.data_centre, now
         )
         if speaks or now - self._polled_at >= core.cfg.store.poll_s:
@@ -108,7 +108,7 @@
         """Answers a peer that asks for newer documents."""
         held = self._core.documents
         reply = peer_pb2.DocumentsReply(revision=held.revision)
-        for document in held.after(request.after):
+        for document in held.changed_since(request.after):
             reply.documents.add(
                 path=document.path,
                 revision=document.revision,
@@ -132,7 +132,7 @@
             logger.error('revision {} is not valid: {}', revision, exc)
             return True
         core.catalog = built
-        core.work.adopt(built)
+        core.scheduler.adopt(built)
         core.metrics.revision.set(revision)
         self._follow_own_state()
         core.event('settings.adopted', f'revision {revision}', source)
@@ -144,7 +144,7 @@
         if wanted is None:
             return
         if wanted.state is settings.UpstreamState.ACTIVE:
-            core.members.stay()
+            core.members.cancel_leave()
         else:
             core.members.leave()
 
@@ -158,7 +158,7 @@
             The new revision.
 
         Raises:
-            StoreDown: If the store was not reached.
+            StoreUnavailable: If the store was not reached.
             OutcomeUnknown: If it may or may not have been written.
             SettingsInvalid: With all findings.
         """
@@ -183,7 +183,7 @@
                     'the store did not answer; the change may be in force '
                     'soon: ask "show settings" before trying again'
                 )
-        raise errors.StoreDown(
+        raise errors.StoreUnavailable(
             'the store was not reached; nothing was changed',
             retry_after_s=5.0,
         )
--- a/dandelionwinch/daemon/_wire.py
+++ b/dandelionwinch/daemon/_wire.py
@@ -85,8 +85,8 @@
 def dump_event(event):
     """Turns an event into its message."""
     return peer_pb2.Event(
-        physical_us=event.stamp.physical_us,
-        logical=event.stamp.logical,
+        physical_us=event.timestamp.physical_us,
+        logical=event.timestamp.logical,
         instance=event.instance,
         sequence=event.sequence,
         kind=event.kind,
@@ -98,7 +98,7 @@
 def load_event(message):
     """Turns a message into its event."""
     return timeline.Event(
-        timeline.Stamp(message.physical_us, message.logical),
+        timeline.Timestamp(message.physical_us, message.logical),
         message.instance,
         message.sequence,
         message.kind,
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -15,12 +15,12 @@
 GIGABYTE = 1e9
 
 
-class Work:
+class Scheduler:
     """Owns the running jobs, the limits and the placer."""
 
     def __init__(self, core):
         self._core = core
-        self.book = jobs.JobBook()
+        self.job_history = jobs.JobHistory()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
         self.estimates = placement.LoadEstimates()
         self.placer = placement.Placer(self.estimates, core.rng)
@@ -57,7 +57,7 @@
         record = jobs.JobRecord(
             message.job_id, message.team, message.target, now
         )
-        self.book.open(record)
+        self.job_history.add(record)
         core.metrics.running.set(self.admission.jobs)
         core.event('job.admitted', message.job_id, message.target)
 
@@ -146,7 +146,7 @@
         return sites
 
     def _note(self, message, choice, now):
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         job = message.job
         if record is not None:
             record.upstream = choice.decode or choice.prefill
@@ -182,7 +182,7 @@
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
         apart = choice.prefill != decode.name
-        return messages.Placed(
+        return messages.Placement(
             upstream=decode.name,
             address=decode.address,
             prefill_upstream=prefill.name if apart else '',
@@ -221,11 +221,11 @@
             )
         found.sort(key=lambda pair: pair[0])
         upstreams = tuple(upstream for _rank, upstream in found)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.upstream = upstreams[0].name
             record.attempts += 1
-        return messages.ServicePlaces(service, upstreams)
+        return messages.ServicePlacement(service, upstreams)
 
     def upstream_failed(self, message):
         """Leaves an upstream alone for a while after a failure."""
@@ -233,7 +233,7 @@
         now = core.now()
         self.estimates.failed(message.upstream, now)
         core.loads.rest(message.upstream, now)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.terms.append(
                 f'upstream "{message.upstream}" failed: {message.reason}'
@@ -262,18 +262,18 @@
     def finish(self, message):
         """Notes how a job ended and books what it earned."""
         core = self._core
-        record = self.book.end(
+        record = self.job_history.end(
             message.job_id, message.state, message.code, core.now()
         )
         if record is None:
             return
         record.tokens = message.tokens
         team = self._team(record.team)
-        self.admission.finish(team.name)
+        self.admission.release(team.name)
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
-            self._budget(record.target).succeeded()
+            self._budget(record.target).record_success()
             core.loads.rested(record.upstream)
             core.metrics.tokens.inc(message.tokens)
             core.earnings.book(record, message.tokens)
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_exchange.py
@@ -50,25 +50,25 @@
         'upstream_id',
     )
 
-    def __init__(self, gateway, inquiry, route, caller, began):
+    def __init__(self, gateway, req, route, caller, began):
         self._gateway = gateway
         self._fleet = gateway.fleet
         self._loop = gateway.loop
-        self._inquiry = inquiry
+        self._inquiry = req
         self._route = route
         self._caller = caller
         self._began = began
         limit_s = route.timeout_s
-        if inquiry.timeout_s is not None:
-            limit_s = min(limit_s, inquiry.timeout_s)
+        if req.timeout_s is not None:
+            limit_s = min(limit_s, req.timeout_s)
         self._deadline = began + limit_s
-        self._service = route.service_for(inquiry.id)
+        self._service = route.service_for(req.id)
         self._fates = []
         self._tried = set()
         self._full = set()
         self._attempt = 0
         self._relayed = None
-        self._last_event = inquiry.last_event
+        self._last_event = req.last_event_id
         self._streaming = False
         self.first_event_s = 0.0
         self.longest_gap_s = 0.0
@@ -101,7 +101,7 @@
     async def run(self):
         """Serves the request to its final answer."""
         now = self._loop.time()
-        self._gateway.budget.received(self._service, now)
+        self._gateway.budget.record_request(self._service, now)
         try:
             while await self._try_once():
                 pass
@@ -112,7 +112,7 @@
         """Makes one attempt; returns whether another one follows."""
         if self._left_s() < LEAST_LEFT_S:
             raise _conversation.NoFurtherAttempt(
-                attempts.Fate.NOT_SENT, 'no time is left'
+                attempts.AttemptOutcome.NOT_SENT, 'no time is left'
             )
         try:
             await self._attempt_once()
@@ -129,9 +129,9 @@
         raise NotImplementedError
 
     def _another(self, exc):
-        if not attempts.may_repeat(self._route.repeat, exc.fate):
+        if not attempts.may_retry(self._route.retry_policy, exc.fate):
             raise exc
-        if exc.fate is attempts.Fate.NOT_SENT:
+        if exc.fate is attempts.AttemptOutcome.NOT_SENT:
             if len(self._fates) >= MAX_CONNECT_TRIES:
                 raise exc
             return True
@@ -165,27 +165,27 @@
             self._gateway.closed(self, relayed.head.status, reason)
             return
         timed_out = self._left_s() < LEAST_LEFT_S
-        status = attempts.final_of(self._fates, timed_out)
+        status = attempts.final_status(self._fates, timed_out)
         headers = []
-        if status is attempts.Final.NOT_RUN:
+        if status is attempts.FinalStatus.NOT_RUN:
             wait_s = RETRY_AFTER_S + self._gateway.rng.random() * (
                 RETRY_SPREAD_S
             )
-            headers = self._gateway.dialect.come_back(wait_s)
+            headers = self._gateway.wire_codec.retry_after_headers(wait_s)
         self.outcome = status.name.lower()
-        self._caller.answer(int(status), headers, reason.encode())
+        self._caller.respond(int(status), headers, reason.encode())
         self._gateway.closed(self, int(status), reason)
 
     def _relay_whole(self, answer):
         self.outcome = 'relayed'
         headers = answer.head.end_to_end()
-        self._caller.answer(answer.head.status, headers, answer.body)
+        self._caller.respond(answer.head.status, headers, answer.body)
 
     def _accept(self, upstream, answer, began):
         now = self._loop.time()
         again = (
             answer.head.status >= SERVER_ERROR
-            and self._route.repeat is not routes.Repeat.ONCE
+            and self._route.retry_policy is not routes.RetryPolicy.ONCE
         )
         way_s = self._gateway.distances.round_trip_s(
             upstream.entry.data_centre
@@ -197,7 +197,7 @@
         upstream.succeeded(excess_s, now)
         if again:
             raise _conversation.AttemptFailed(
-                attempts.Fate.FAILED,
+                attempts.AttemptOutcome.FAILED,
                 f'status {answer.head.status}',
                 relayed=answer,
             )
@@ -206,7 +206,9 @@
 
     def _nowhere(self):
         return _conversation.NoFurtherAttempt(
-            self._fates[-1] if self._fates else attempts.Fate.NOT_SENT,
+            self._fates[-1]
+            if self._fates
+            else attempts.AttemptOutcome.NOT_SENT,
             f'service "{self._service}" has no upstream left to try',
             relayed=self._relayed,
         )
@@ -216,7 +218,7 @@
         left_s = self._left_s()
         route = self._route
         last = len(self._tried) >= route.max_attempts
-        if route.repeat is routes.Repeat.ONCE or last:
+        if route.retry_policy is routes.RetryPolicy.ONCE or last:
             return left_s
         silence_s = FIRST_SILENCE_FACTOR * route.objective_s
         return min(left_s, max(LEAST_SILENCE_S, silence_s))
@@ -230,7 +232,7 @@
         pool = self._fleet.pool(upstream)
         self.upstream_id = upstream.entry.id
         try:
-            conn = await pool.take(
+            conn = await pool.acquire(
                 min(TAKE_TIMEOUT_S, self._left_s()), fresh_s=fresh_s
             )
         except _pool.PoolBusy as exc:
@@ -242,23 +244,25 @@
             raise self._not_sent(upstream, str(exc)) from exc
         if not self._fleet.registry.serves(upstream):
             # It has begun to leave while this request waited.
-            pool.give_unused(conn)
+            pool.release_unused(conn)
             reason = f'upstream "{upstream.entry.id}" is leaving'
             raise self._not_sent(upstream, reason)
         return pool, conn
 
     def _not_sent(self, upstream, reason):
         self._full.add(upstream.entry.id)
-        return _conversation.AttemptFailed(attempts.Fate.NOT_SENT, reason)
+        return _conversation.AttemptFailed(
+            attempts.AttemptOutcome.NOT_SENT, reason
+        )
 
     async def _connect(self, upstream):
         """Takes a connection, and a retry out of the budget if need be."""
         fresh_s = 0.0
-        if self._route.repeat is routes.Repeat.ONCE:
+        if self._route.retry_policy is routes.RetryPolicy.ONCE:
             fresh_s = FRESH_ONCE_S
         pool, conn = await self._take(upstream, fresh_s)
         if self._attempt and not self._gateway.spend_retry(self._service):
-            pool.give_unused(conn)
+            pool.release_unused(conn)
             raise _conversation.NoFurtherAttempt(
                 self._fates[-1], 'the retry budget is spent', self._relayed
             )
@@ -267,10 +271,10 @@
         return pool, conn
 
     def _sending(self, upstream, **more):
-        return _inquiry.Sending(
+        return _inquiry.AttemptParams(
             upstream.entry.id,
             self._left_s(),
-            last_event=self._last_event,
+            last_event_id=self._last_event,
             **more,
         )
 
@@ -282,16 +286,16 @@
             yield _conversation.Conversation(
                 self._loop,
                 conn,
-                self._gateway.dialect,
+                self._gateway.wire_codec,
                 self._inquiry,
                 self._deadline,
             )
         except BaseException as exc:
             pool.discard(conn)
             fate = getattr(exc, 'fate', None)
-            if fate is attempts.Fate.UNKNOWN:
+            if fate is attempts.AttemptOutcome.UNKNOWN:
                 upstream.failed(self._loop.time())
             raise
         finally:
             upstream.active -= 1
-        pool.give(conn)
+        pool.release(conn)
--- a/dandelionwinch/gateway/_pool.py
+++ b/dandelionwinch/gateway/_pool.py
@@ -29,7 +29,7 @@
         self.limit = limit
         self.open = 0
 
-    async def take(self, timeout_s, *, fresh_s=0.0):
+    async def acquire(self, timeout_s, *, fresh_s=0.0):
         """Returns a connection that carries no request.
 
         Args:
@@ -90,7 +90,7 @@
                 f'all connections to "{self._address}" work'
             ) from exc
 
-    def give(self, conn):
+    def release(self, conn):
         """Takes back a connection after its exchange."""
         if conn.finish() and self.open <= self.limit:
             self._idle.append(conn)
@@ -98,7 +98,7 @@
         else:
             self._drop(conn)
 
-    def give_unused(self, conn):
+    def release_unused(self, conn):
         """Takes back a connection that was not used."""
         self._idle.append(conn)
         self._wake_one()
--- a/dandelionwinch/jobs/_book.py
+++ b/dandelionwinch/jobs/_book.py
@@ -30,7 +30,7 @@
     terms: list = attrs.field(factory=list)
 
 
-class JobBook:
+class JobHistory:
     """All running jobs and a bounded number of ended ones."""
 
     __slots__ = ('_ended', '_running')
@@ -39,7 +39,7 @@
         self._running = {}
         self._ended = collections.OrderedDict()
 
-    def open(self, record):
+    def add(self, record):
         """Adds a running job."""
         self._running[record.id] = record
 
@@ -68,7 +68,7 @@
         """Returns all records, ended ones first."""
         return [*self._ended.values(), *self._running.values()]
 
-    def on_upstream(self, upstream):
+    def count_on_upstream(self, upstream):
         """Returns the number of running jobs on an upstream."""
         return sum(
             1
--- a/dandelionwinch/membership/_members.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class Known:
+class PeerState:
     """What is known of one instance.
 
     Attributes:
@@ -39,7 +39,7 @@
     member: peer_pb2.Member
     beat: int = 0
     leaves: int = 0
-    heard_at: float = float('-inf')
+    heartbeat_at: float = float('-inf')
     listed: bool | None = None
     listed_leaving: bool = False
     jobs: int = 0
@@ -81,12 +81,12 @@
         '_rng',
         '_seeds',
         '_suspect_s',
-        'me',
+        'local',
     )
 
     def __init__(self, member, timing, rng, seeds=()):
-        self.me = Known(member)
-        self._by_id = {member_id(member.name): self.me}
+        self.local = PeerState(member)
+        self._by_id = {member_id(member.name): self.local}
         self._rng = rng
         self._seeds = list(seeds)
         self._suspect_s = timing.suspect_s
@@ -106,14 +106,14 @@
         """
         self._note_pause(now)
         self._last_tick = now
-        self.me.heard_at = now
+        self.local.heartbeat_at = now
         self._forget(now)
         due_s = self._beat_s * (self._pace() - BEAT_SLACK)
         if now - self._last_beat < due_s:
             return []
         self._last_beat = now
         self._beats += 1
-        self.me.beat += 1
+        self.local.beat += 1
         return self._targets(now)
 
     def _pace(self):
@@ -122,7 +122,7 @@
         A digest grows with the data centre, so its rate falls, and what an
         instance sends in a second stays within bounds.
         """
-        data_centre = self.me.data_centre
+        data_centre = self.local.data_centre
         size = sum(
             1 for k in self._by_id.values() if k.data_centre == data_centre
         )
@@ -146,16 +146,16 @@
         over = [
             key
             for key, known in self._by_id.items()
-            if known is not self.me
-            and now - known.heard_at > self._forget_s
+            if known is not self.local
+            and now - known.heartbeat_at > self._forget_s
             and not known.listed
         ]
         for key in over:
             del self._by_id[key]
 
     def _targets(self, now):
-        others = [k for k in self._by_id.values() if k is not self.me]
-        near = [k for k in others if k.data_centre == self.me.data_centre]
+        others = [k for k in self._by_id.values() if k is not self.local]
+        near = [k for k in others if k.data_centre == self.local.data_centre]
         large = self._pace() > 1
         fanout = FANOUT_IN_LARGE_DATA_CENTRES if large else FANOUT
         chosen = self._sample(near, fanout)
@@ -173,7 +173,7 @@
     def _one_of_each_data_centre(self, others):
         by_data_centre = {}
         for known in others:
-            if known.data_centre != self.me.data_centre:
+            if known.data_centre != self.local.data_centre:
                 by_data_centre.setdefault(known.data_centre, []).append(known)
         data_centres = self._sample(sorted(by_data_centre), FANOUT)
         return [
@@ -182,9 +182,9 @@
         ]
 
     def _speaks(self, now):
-        return self.me in self.speakers(self.me.data_centre, now)
+        return self.local in self.delegates(self.local.data_centre, now)
 
-    def speakers(self, data_centre, now):
+    def delegates(self, data_centre, now):
         """Returns the instances that act for a data centre.
 
         They watch the store's configuration and talk to other data centres.
@@ -202,13 +202,13 @@
         Of others a few are drawn, so that a digest grows with a data centre
         and not with all instances.
         """
-        digest = peer_pb2.Digest(sender=self.me.member)
-        near_data_centres = (self.me.data_centre, to_data_centre)
+        digest = peer_pb2.Digest(sender=self.local.member)
+        near_data_centres = (self.local.data_centre, to_data_centre)
         far = []
         for key, known in self._by_id.items():
             if key in self._asked:
                 digest.introduced.append(known.member)
-            if now - known.heard_at > self._forget_s:
+            if now - known.heartbeat_at > self._forget_s:
                 continue
             if known.data_centre in near_data_centres:
                 digest.pulses.append(_pulse(key, known))
@@ -235,7 +235,7 @@
             known = self._by_id.get(pulse.id)
             if known is None:
                 unknown.append(pulse.id)
-            elif known is not self.me:
+            elif known is not self.local:
                 _advance(known, pulse, now)
         return unknown
 
@@ -243,15 +243,15 @@
         key = member_id(member.name)
         known = self._by_id.get(key)
         if known is None:
-            self._by_id[key] = Known(member)
-        elif known is not self.me and (
+            self._by_id[key] = PeerState(member)
+        elif known is not self.local and (
             member.incarnation > known.member.incarnation
         ):
             known.member = member
             known.beat = 0
             known.leaves = 0
 
-    def overlay(self, listed):
+    def merge_list(self, listed):
         """Takes in the platform's list, which lags.
 
         Args:
@@ -263,7 +263,7 @@
             key = member_id(line.name)
             known = self._by_id.get(key)
             if known is None:
-                known = Known(_member_of(line))
+                known = PeerState(_member_of(line))
                 self._by_id[key] = known
             known.listed = True
             known.listed_leaving = line.leaving
@@ -273,13 +273,13 @@
 
     def leave(self):
         """Marks this instance as leaving."""
-        if self.me.leaves % 2 == 0:
-            self.me.leaves += 1
+        if self.local.leaves % 2 == 0:
+            self.local.leaves += 1
 
-    def stay(self):
+    def cancel_leave(self):
         """Takes the leaving mark back."""
-        if self.me.leaves % 2 == 1:
-            self.me.leaves += 1
+        if self.local.leaves % 2 == 1:
+            self.local.leaves += 1
 
     def live(self, now):
         """Returns the instances heard of recently, in order of name."""
@@ -292,20 +292,20 @@
     def _is_live(self, known, now, pace):
         """Tells whether a member was heard of; far ones take longer."""
         patience_s = self._suspect_s
-        if known.data_centre != self.me.data_centre:
+        if known.data_centre != self.local.data_centre:
             patience_s *= FAR_PATIENCE
-        return now - known.heard_at <= patience_s * pace
+        return now - known.heartbeat_at <= patience_s * pace
 
-    def everyone(self):
+    def all_instances(self):
         """Returns all known instances in order of name."""
         return sorted(self._by_id.values(), key=lambda known: known.name)
 
-    def may_live(self, now):
+    def maybe_alive(self, now):
         """Returns instances that may still run: live or listed."""
         pace = self._pace()
         return [
             known
-            for known in self.everyone()
+            for known in self.all_instances()
             if known.listed or self._is_live(known, now, pace)
         ]
 
@@ -344,7 +344,7 @@
     known.revision = max(known.revision, pulse.revision)
     if pulse.beat > known.beat:
         known.beat = pulse.beat
-        known.heard_at = now
+        known.heartbeat_at = now
         known.jobs = pulse.jobs
 
 
--- a/dandelionwinch/orders/_conduct.py
+++ b/dandelionwinch/orders/_executor.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Status:
+class UpstreamStatus:
     """An upstream's own word.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class Hold:
+class HoldState:
     """How a hold stands.
 
     Attributes:
@@ -68,12 +68,12 @@
         reports: DrainReport by instance.
     """
 
-    may_live: tuple
+    maybe_alive: tuple
     reports: dict
 
 
 @attrs.frozen
-class Wish:
+class DesiredRole:
     """What is wanted of an upstream.
 
     Attributes:
@@ -101,7 +101,7 @@
     order_id: str = ''
 
 
-class Conductor:
+class OrderExecutor:
     """Carries out the orders of one shard's holder.
 
     An order is in the store before it is sent, an upstream has at most
@@ -111,10 +111,10 @@
     numbers, the next order waits until no copy can be under way.
     """
 
-    __slots__ = ('_authority', '_closed_seen', '_settle_s')
+    __slots__ = ('_lease', '_closed_seen', '_settle_s')
 
     def __init__(self, authority, settle_s):
-        self._authority = authority
+        self._lease = authority
         self._settle_s = settle_s
         self._closed_seen = {}
 
@@ -128,7 +128,7 @@
         Returns:
             Progress.
         """
-        shard = self._authority.shard
+        shard = self._lease.shard
         if shard is None:
             return Progress()
         order = shard.open_order(upstream.name)
@@ -153,7 +153,7 @@
             )
             return attrs.evolve(held.with_order(order), epoch=epoch)
 
-        written = yield from self._authority.update(add)
+        written = yield from self._lease.update(add)
         if written is None:
             return Progress(reason='the order was not written')
         return Progress('order.written', order_id=wish.order_id)
@@ -180,7 +180,7 @@
         hold = yield HoldUpstream(upstream.name, order.id)
         clock = yield effects.Clock()
         reason = _drain.may_send(
-            hold.may_live,
+            hold.maybe_alive,
             hold.reports,
             None if status is None else status.jobs,
             clock.now,
@@ -205,7 +205,7 @@
             closed = held.with_order(attrs.evolve(last, state=state))
             return attrs.evolve(closed, epoch=max(held.epoch, epoch))
 
-        written = yield from self._authority.update(close)
+        written = yield from self._lease.update(close)
         if written is None:
             return Progress(reason='not recorded yet', order_id=order.id)
         yield ReleaseHold(order.upstream, order.id)
--- a/dandelionwinch/platform/_catalogue.py
+++ b/dandelionwinch/platform/_store_codec.py
@@ -115,16 +115,16 @@
     place = f'{CONFIG_KEY}.routes.{item.get("name")}'
     kind = _field(item, 'kind', str, place)
     streaming = kind == 'streaming'
-    repeat = routes.Repeat.ONCE
+    retry_policy = routes.RetryPolicy.ONCE
     if kind == 'idempotent':
-        repeat = routes.Repeat.IDEMPOTENT
+        retry_policy = routes.RetryPolicy.IDEMPOTENT
     elif streaming and item.get('resumable') is True:
-        repeat = routes.Repeat.RESUMABLE
+        retry_policy = routes.RetryPolicy.RESUMABLE
     return routes.Route(
         _field(item, 'name', str, place),
         _field(item, 'host', str, place),
         _field(item, 'prefix', str, place),
-        repeat,
+        retry_policy,
         streaming,
         _field(item, 'timeoutMs', (int, float), place) / 1e3,
         _field(item, 'targetLatencyMs', (int, float), place) / 1e3,
@@ -139,9 +139,9 @@
 def _shares(item, place):
     split = item.get('trafficSplit')
     if not split:
-        return (routes.Share(_field(item, 'service', str, place), 1.0),)
+        return (routes.TrafficShare(_field(item, 'service', str, place), 1.0),)
     return tuple(
-        routes.Share(
+        routes.TrafficShare(
             _field(share, 'service', str, place),
             float(_field(share, 'weight', (int, float), place)),
         )
@@ -161,7 +161,7 @@
 
 
 def _engine(item, place):
-    return routes.Engine(
+    return routes.EngineSpec(
         _field(item, 'slots', int, place),
         _field(item, 'kvTokens', int, place),
         _field(item, 'kvTokenBytes', (int, float), place),
@@ -184,7 +184,7 @@
     return value_ms / 1e3 if value_ms else default_s
 
 
-class Catalogue:
+class StoreCodec:
     """Keys and values of the platform in the product's types."""
 
     __slots__ = ()
--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -3,16 +3,16 @@
 import json
 
 from dandelionwinch.platform import _boot
-from dandelionwinch.platform import _catalogue
-from dandelionwinch.platform import _dialect
+from dandelionwinch.platform import _store_codec
+from dandelionwinch.platform import _wire_codec
 from dandelionwinch import routes
 
 SETTINGS_VARIABLE = _boot.VARIABLE
-CONFIG_KEY = _catalogue.CONFIG_KEY
-REQUEST_ID = _dialect.REQUEST_ID
-TARGET = _dialect.TARGET
-LAST_EVENT_ID = _dialect.LAST_EVENT_ID
-TOKEN_USAGE = _dialect.TOKEN_USAGE
+CONFIG_KEY = _store_codec.CONFIG_KEY
+REQUEST_ID = _wire_codec.REQUEST_ID
+TARGET = _wire_codec.TARGET
+LAST_EVENT_ID = _wire_codec.LAST_EVENT_ID
+TOKEN_USAGE = _wire_codec.TOKEN_USAGE
 
 SETTINGS = """
 nodeName = "{name}"
@@ -94,7 +94,7 @@
 
 def entry_key(upstream_id):
     """Returns the key of an upstream's entry."""
-    return _catalogue.UPSTREAM_PREFIX + upstream_id
+    return _store_codec.UPSTREAM_PREFIX + upstream_id
 
 
 def entry(**changes):
@@ -112,7 +112,7 @@
     kind = 'idempotent'
     if streaming:
         kind = 'streaming'
-    elif repeat is routes.Repeat.ONCE:
+    elif repeat is routes.RetryPolicy.ONCE:
         kind = 'non_idempotent'
     return route(
         name=name,
@@ -121,7 +121,7 @@
         timeoutMs=int(timeout_s * 1e3),
         targetLatencyMs=200,
         maxAttempts=attempts,
-        resumable=repeat is routes.Repeat.RESUMABLE,
+        resumable=repeat is routes.RetryPolicy.RESUMABLE,
         targetGapMs=500,
     )
 
@@ -156,18 +156,18 @@
         f'POST {target} HTTP/1.1',
         'Host: desk',
         f'{REQUEST_ID}: {request_id}',
-        f'{_dialect.TIMEOUT_MS}: {timeout_ms}',
+        f'{_wire_codec.TIMEOUT_MS}: {timeout_ms}',
         'Content-Length: 2',
     ]
     if prompt is not None:
         parts = ','.join(f'{n:x}:{size}' for n, size in enumerate(prompt))
         lines.append(f'{TOKEN_USAGE}: {sum(prompt)},80')
-        lines.append(f'{_dialect.PROMPT_PREFIX}: {parts}')
+        lines.append(f'{_wire_codec.PROMPT_PREFIX}: {parts}')
     lines += [f'{name}: {value}' for name, value in more]
     return '\r\n'.join(lines).encode() + b'\r\n\r\n{}'
 
 
-def question(data_centre, region):
+def resolve_request(data_centre, region):
     """Returns the bytes of a caller's question where to connect."""
     target = f'/-/resolve?name=desk&region={region}&zone={data_centre}'
     return (
@@ -175,12 +175,14 @@
     ).encode()
 
 
-def answered_addresses(body):
+def resolved_addresses(body):
     """Returns the addresses of an answer to that question."""
     return json.loads(body)['addresses']
 
 
-def answer_head(request_id, framing='', status='200 OK', more='', signed=True):
+def response_head(
+    request_id, framing='', status='200 OK', more='', signed=True
+):
     """Returns the head of an upstream's answer.
 
     Args:
@@ -194,7 +196,7 @@
     if request_id:
         lines.append(f'{REQUEST_ID}: {request_id}')
     if signed:
-        lines.append(f'{_dialect.SIGNATURE}: sig')
+        lines.append(f'{_wire_codec.SIGNATURE}: sig')
     if framing:
         lines.append(framing)
     return ('\r\n'.join(lines) + f'\r\n{more}\r\n').encode()
@@ -203,12 +205,12 @@
 def refusal(status='503 Service Unavailable', more=''):
     """Returns an upstream's answer that it did not run a request."""
     return (
-        f'HTTP/1.1 {status}\r\n{_dialect.NOT_EXECUTED}: 1\r\n{more}'
+        f'HTTP/1.1 {status}\r\n{_wire_codec.NOT_EXECUTED}: 1\r\n{more}'
         'Content-Length: 0\r\n\r\n'
     ).encode()
 
 
-def handle(name):
+def prefill_body(name):
     """Returns the body of an answer to a prompt that was only read."""
     return json.dumps(
         {'kvHandle': name, 'tokens': 5000, 'version': 1}
--- a/dandelionwinch/revisions/_acceptance.py
+++ b/dandelionwinch/revisions/_rollout.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-DRIFT_FACTOR = 1.1
+CLOCK_DRIFT_RATIO = 1.1
 
 
 @attrs.frozen
-class Acceptance:
+class RolloutStatus:
     """How far a committed revision has come.
 
     Attributes:
@@ -16,11 +16,11 @@
     """
 
     accepted: bool
-    missing: tuple[str, ...]
+    unconfirmed: tuple[str, ...]
     reason: str
 
 
-class AcceptanceWatch:
+class RolloutTracker:
     """Watches one committed revision until it is accepted.
 
     It is accepted once a majority of data centres hold it as a whole for
@@ -54,9 +54,9 @@
         Returns:
             An Acceptance.
         """
-        missing = [k for k in members if k.revision < self._revision]
-        names = tuple(known.name for known in missing)
-        lacking = {known.data_centre for known in missing}
+        unconfirmed = [k for k in members if k.revision < self._revision]
+        names = tuple(known.name for known in unconfirmed)
+        lacking = {known.data_centre for known in unconfirmed}
         met = {known.data_centre for known in members} - lacking
         whole = [
             data_centre
@@ -65,14 +65,14 @@
         ]
         if 2 * len(whole) <= len(self._data_centres):
             self._whole_since = None
-            return Acceptance(
+            return RolloutStatus(
                 False, names, 'no majority of data_centres holds it'
             )
         if self._whole_since is None:
             self._whole_since = now
         waited_s = now - self._whole_since
-        if waited_s <= self._cut_off_s * DRIFT_FACTOR:
-            return Acceptance(
+        if waited_s <= self._cut_off_s * CLOCK_DRIFT_RATIO:
+            return RolloutStatus(
                 False, names, 'unreached instances may still take work'
             )
-        return Acceptance(True, names, '')
+        return RolloutStatus(True, names, '')
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -55,7 +55,7 @@
     def status(self, now):
         """Returns the upstream's own word."""
         away = now < self.busy_until
-        return orders.Status(self.order_id, away, 0, self.epoch)
+        return orders.UpstreamStatus(self.order_id, away, 0, self.epoch)
 
 
 class _Instance:
@@ -65,10 +65,10 @@
         self.search = search
         self.process = process
         self.departures = membership.Departures(_TIMING.gone_margin_s)
-        self.authority = orders.Authority(
+        self.authority = orders.ShardLease(
             SHARD, process.name, process.incarnation, _TIMING
         )
-        self.conductor = orders.Conductor(
+        self.conductor = orders.OrderExecutor(
             self.authority, _TIMING.gone_margin_s
         )
         self.leaving = False
@@ -82,7 +82,7 @@
     def _lead(self):
         process = self.process
         process.soon(_TIMING.lease_s / 4, self._lead)
-        self.departures.listed(self.search.platform.read())
+        self.departures.list_read(self.search.platform.read())
         if self.leaving:
             process.run(self.authority.release())
         else:
@@ -116,7 +116,7 @@
         if last is not None and last.source >= source:
             return None
         order_id = f'{upstream.cfg.name}-{shard.epoch + 1}'
-        return orders.Wish(wanted, source, order_id)
+        return orders.DesiredRole(wanted, source, order_id)
 
     def handle(self, process, request, reply):
         """Serves the requests of the conductor's programs."""
@@ -125,7 +125,7 @@
                 self.search.poll(name, reply)
             case orders.HoldUpstream():
                 held = orders.DrainReport('all', 0, process.now(), 10.0)
-                reply(orders.Hold(('all',), {'all': held}))
+                reply(orders.HoldState(('all',), {'all': held}))
             case orders.ReleaseHold():
                 reply(None)
             case orders.SendOrder(order=order):
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -38,7 +38,7 @@
     def admits(self):
         """Tells whether the instance takes new work at this moment."""
         now = self.now()
-        data_centres = membership.staffed_data_centres(self.remaining())
+        data_centres = membership.populated_data_centres(self.remaining())
         return (
             self.documents.revision > 0
             and not self.members.is_suspect(now)
@@ -47,15 +47,17 @@
 
     def remaining(self):
         """Returns known instances that are not certainly gone."""
-        return self.departures.remaining(self.members.everyone(), self.now())
+        return self.departures.remaining(
+            self.members.all_instances(), self.now()
+        )
 
     def _beat(self):
         self.process.soon(self.timing.beat_s, self._beat)
         now = self.now()
         lines = self.search.listed()
-        self.members.overlay(lines)
-        self.departures.listed(line.name for line in lines)
-        self.members.me.revision = self.documents.revision
+        self.members.merge_list(lines)
+        self.departures.list_read(line.name for line in lines)
+        self.members.local.revision = self.documents.revision
         for address in self.members.tick(now):
             self.exchange(address)
 
@@ -74,7 +76,9 @@
 
     def _note(self, asked_at, address, reply):
         if reply.revision <= self.documents.revision:
-            self.freshness.heard(reply.sender.data_centre, asked_at, reply)
+            self.freshness.merge_ages(
+                reply.sender.data_centre, asked_at, reply
+            )
         else:
             self.search.pull(self, address)
 
@@ -83,7 +87,7 @@
         digest = self.members.digest(now, data_centre)
         digest.asked.extend(self.asked.pop(key, ()))
         digest.revision = self.documents.revision
-        self.freshness.tell(digest, now)
+        self.freshness.add_ages(digest, now)
         return digest
 
     def _take(self, key, digest):
@@ -100,7 +104,7 @@
     def _poll(self):
         self.process.soon(POLL_S, self._poll)
         now = self.now()
-        speaks = self.members.me in self.members.speakers(
+        speaks = self.members.local in self.members.delegates(
             self.data_centre, now
         )
         if speaks or now - self.polled_at > 30.0:
@@ -124,10 +128,10 @@
         """Takes over a higher revision and tells all peers."""
         if not self.documents.adopt(revision, documents):
             return
-        self.members.me.revision = self.documents.revision
+        self.members.local.revision = self.documents.revision
         self.members.tick(self.now())
         for known in self.members.live(self.now()):
-            if known is not self.members.me:
+            if known is not self.members.local:
                 self.exchange(known.member.peer_address)
 
     def handle(self, _process, request, _reply):
--- a/dandelionwinch/soak/_caller.py
+++ b/dandelionwinch/soak/_caller.py
@@ -117,13 +117,13 @@
                     reader, writer = await asyncio.open_connection(
                         host, int(port)
                     )
-                    writer.write(samples.question('a', 'north'))
+                    writer.write(samples.resolve_request('a', 'north'))
                     status, _headers, body = await _answer(reader)
                     writer.close()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 continue
             if status == 200:
-                self._addresses = samples.answered_addresses(body)
+                self._addresses = samples.resolved_addresses(body)
                 self._asked_at = loop.time()
                 return
 
--- a/dandelionwinch/tests/house.py
+++ b/dandelionwinch/tests/house.py
@@ -6,7 +6,7 @@
 import attrs
 
 from dandelionwinch import gateway
-from dandelionwinch.platform import _dialect
+from dandelionwinch.platform import _wire_codec
 from dandelionwinch.platform import samples
 from dandelionwinch import routes
 from dandelionwinch.standins import scripted
@@ -16,13 +16,13 @@
 
 def whole(body=b'hello', status='200 OK', more='', request_id='{id}'):
     """Returns a signed answer with its length."""
-    head = samples.answer_head(
+    head = samples.response_head(
         request_id, f'Content-Length: {len(body)}', status, more
     )
     return head + body
 
 
-STREAM_HEAD = samples.answer_head(
+STREAM_HEAD = samples.response_head(
     '{id}',
     'Transfer-Encoding: chunked',
     more='X-Head: first\r\nContent-Type: text/event-stream\r\n',
@@ -51,30 +51,30 @@
     retry_window_s: float = 10.0
 
 
-def route(name, repeat, streaming=False, attempts=2, **changes):
+def route(name, retry_policy, streaming=False, attempts=2, **changes):
     made = routes.Route(
         name,
         'desk',
         f'/{name}/',
-        repeat,
+        retry_policy,
         streaming,
         5.0,
         0.15,
         0,
         attempts,
-        (routes.Share('s', 1.0),),
-        gap_s=0.15,
+        (routes.TrafficShare('s', 1.0),),
+        event_gap_s=0.15,
     )
     return attrs.evolve(made, **changes)
 
 
 ROUTES = [
-    route('safe', routes.Repeat.IDEMPOTENT),
-    route('once', routes.Repeat.ONCE, attempts=1),
-    route('twice', routes.Repeat.ONCE, attempts=2),
-    route('short', routes.Repeat.ONCE, attempts=1, timeout_s=0.3),
-    route('stream', routes.Repeat.ONCE, True, attempts=1),
-    route('resume', routes.Repeat.RESUMABLE, True),
+    route('safe', routes.RetryPolicy.IDEMPOTENT),
+    route('once', routes.RetryPolicy.ONCE, attempts=1),
+    route('twice', routes.RetryPolicy.ONCE, attempts=2),
+    route('short', routes.RetryPolicy.ONCE, attempts=1, timeout_s=0.3),
+    route('stream', routes.RetryPolicy.ONCE, True, attempts=1),
+    route('resume', routes.RetryPolicy.RESUMABLE, True),
 ]
 
 
@@ -93,7 +93,7 @@
             for s in self._scripts
         ]
         self.gateway = gateway.Gateway(
-            loop, _dialect.Dialect(), self.log, Config(), random.Random(1)
+            loop, _wire_codec.WireCodec(), self.log, Config(), random.Random(1)
         )
         services = [routes.Service('s', 100)]
         self.gateway.fleet.table = routes.RouteTable(
