--- a/dandelionwinch/claims/_bucket.py
+++ b/dandelionwinch/claims/_bucket.py
@@ -1,4 +1,4 @@
-"""A bucket of claims and the rules by which it changes."""
+"""A bucket of claims and the rules for its state transitions."""
 
 import enum
 import json
@@ -9,11 +9,20 @@
 from dandelionwinch.claims import _keys
 from dandelionwinch import utils
 
+# Estimated size of a serialized claim without its answer.
 _CLAIM_OVERHEAD_BYTES = 256
 
 
 class State(enum.StrEnum):
-    """What is known of a claimed call."""
+    """Execution state of a claimed call.
+
+    Attributes:
+        OPEN: The key is claimed and no outcome is recorded yet.
+        DONE: The call ran.
+        NOT_RUN: The call certainly did not run; its key may be claimed
+            again.
+        UNKNOWN: The call was sent and may have run.
+    """
 
     OPEN = 'open'
     DONE = 'done'
@@ -23,16 +32,20 @@
 
 @attrs.frozen
 class Claim:
-    """The record of one idempotency key.
+    """The stored record of one idempotency key.
 
     Attributes:
-        key: The idempotency key, with the service's name before it.
-        token: Who may send the call: instance, incarnation, request.
-        request: Digest of the request, to recognize a reused key.
+        key: The idempotency key, prefixed with the service's name.
+        token: Identifies the request that may send the call: instance,
+            incarnation and request id.
+        request: Digest of the request, to detect a reused key.
         opened: Wall time in seconds.
-        changed: Wall time of the last change of state.
-        answer: The answer's body, if it was small enough to keep.
+        changed: Wall time in seconds of the last change of state.
+        answer: The answer's body, or empty if it was not stored.
         digest: Digest of the answer's body.
+        status: HTTP status of the answer.
+        content_type: Content type of the answer.
+        kept: Whether ``answer`` holds the body.
     """
 
     key: str
@@ -50,7 +63,7 @@
 
 @attrs.frozen
 class Open:
-    """Asks for the right to send a call."""
+    """Mutation: claims a key for one call."""
 
     key: str
     token: str
@@ -59,7 +72,7 @@
 
 @attrs.frozen
 class Close:
-    """Records what became of a call."""
+    """Mutation: records the outcome of a call."""
 
     key: str
     token: str
@@ -73,21 +86,21 @@
 
 @attrs.frozen
 class Granted:
-    """Result: the call may be sent once, with this token."""
+    """Result: the holder of this token may send the call once."""
 
     token: str
 
 
 @attrs.frozen
 class Held:
-    """Result: the key is claimed; this is its record."""
+    """Result: the key is already claimed, by this claim."""
 
     claim: Claim
 
 
 @attrs.frozen
 class Recorded:
-    """Result: the outcome stands in the bucket."""
+    """Result: the claim has this outcome."""
 
     state: State
 
@@ -104,45 +117,46 @@
 
 @attrs.frozen
 class StoredAnswer:
-    """An answer that is to be recorded."""
+    """An upstream's answer, to be stored with its claim."""
 
     status: int
     content_type: str
     body: bytes
 
 
-def close_with_answer(key, token, kept, limit):
-    """Returns the change that records an answer.
+def close_with_answer(key, token, answer, max_bytes):
+    """Returns the Close that records an answer.
 
-    A body that is small and text is kept; of others the digest is.
+    The body is stored if it is UTF-8 text within the limit; otherwise
+    only its digest is.
 
     Args:
         key: Key of the claim.
         token: Token of the claim.
-        kept: The answer.
-        limit: Largest body in bytes that is kept.
+        answer: The StoredAnswer.
+        max_bytes: Largest body in bytes that is stored.
     """
     text = ''
-    small = len(kept.body) <= limit
-    if small:
+    storable = len(answer.body) <= max_bytes
+    if storable:
         try:
-            text = kept.body.decode('utf-8')
+            text = answer.body.decode('utf-8')
         except UnicodeDecodeError:
-            small = False
+            storable = False
     return Close(
         key,
         token,
         State.DONE,
         answer=text,
-        digest=utils.digest_of(kept.body),
-        status=kept.status,
-        content_type=kept.content_type,
-        kept=small,
+        digest=utils.digest_of(answer.body),
+        status=answer.status,
+        content_type=answer.content_type,
+        kept=storable,
     )
 
 
 class Bucket:
-    """The aggregate of the claims that share one store value."""
+    """The claims that share one value in the store."""
 
     __slots__ = ('_cfg', '_claims')
 
@@ -152,17 +166,17 @@
 
     @classmethod
     def load(cls, cfg, value):
-        """Reads a bucket from its store value, which may be None."""
+        """Deserializes a bucket; a value of None gives an empty one."""
         raw = json.loads(value) if value else []
         return cls(cfg, cattrs.structure(raw, list[Claim]))
 
     def dump(self):
-        """Returns the store value."""
+        """Returns the serialized bucket."""
         raw = cattrs.unstructure(list(self._claims.values()))
         return json.dumps(raw, separators=(',', ':')).encode()
 
     def get(self, key):
-        """Returns a claim, or None."""
+        """Returns the claim of a key, or None."""
         return self._claims.get(key)
 
     def claims(self):
@@ -170,39 +184,40 @@
         return list(self._claims.values())
 
     def apply(self, mutation, wall):
-        """Applies a change; repeating it changes nothing more.
+        """Applies a mutation; applying it again has no further effect.
 
         Args:
             mutation: Open or Close.
             wall: Wall time in seconds.
 
         Returns:
-            One of the result classes.
+            Granted, Held, Expired or Full for an Open, Recorded for a
+            Close.
         """
         match mutation:
             case Open():
                 return self._open(mutation, wall)
             case Close():
                 return self._close(mutation, wall)
-        raise TypeError(f'"{mutation!r}" is not a change of a claim')
+        raise TypeError(f'"{mutation!r}" is not a mutation of a claim')
 
     def _open(self, mutation, wall):
-        held = self._claims.get(mutation.key)
-        if held is not None and held.token == mutation.token:
-            if held.state is State.OPEN:
+        existing = self._claims.get(mutation.key)
+        if existing is not None and existing.token == mutation.token:
+            if existing.state is State.OPEN:
                 return Granted(mutation.token)
-            return Held(held)
+            return Held(existing)
         may_reopen = (
-            held is not None
-            and held.state is State.NOT_RUN
-            and held.request in ('', mutation.request)
+            existing is not None
+            and existing.state is State.NOT_RUN
+            and existing.request in ('', mutation.request)
         )
-        if held is not None and not may_reopen:
-            return Held(held)
+        if existing is not None and not may_reopen:
+            return Held(existing)
         if self._is_expired(mutation.key, wall):
             return Expired()
         self.compact(wall)
-        if held is None and not self._has_room():
+        if existing is None and not self._has_room():
             return Full()
         self._claims[mutation.key] = Claim(
             mutation.key,
@@ -214,29 +229,29 @@
         return Granted(mutation.token)
 
     def _is_expired(self, key, wall):
-        made = _keys.key_time(key.partition('/')[2])
-        return made is not None and made < wall - self._cfg.retention_s
+        created = _keys.key_time(key.partition('/')[2])
+        return created is not None and created < wall - self._cfg.retention_s
 
     def _has_room(self):
-        kept = sum(len(claim.answer) for claim in self._claims.values())
-        bound = self._cfg.max_bucket_bytes
-        bound -= self._cfg.max_kept_answer_bytes + _CLAIM_OVERHEAD_BYTES
-        return kept + len(self._claims) * _CLAIM_OVERHEAD_BYTES <= bound
+        used = sum(len(claim.answer) for claim in self._claims.values())
+        limit = self._cfg.max_bucket_bytes
+        limit -= self._cfg.max_kept_answer_bytes + _CLAIM_OVERHEAD_BYTES
+        return used + len(self._claims) * _CLAIM_OVERHEAD_BYTES <= limit
 
     def _close(self, mutation, wall):
-        held = self._claims.get(mutation.key)
-        if held is None and mutation.state is State.NOT_RUN:
-            # A record also changes the bucket's revision, so that a
-            # delayed write of the opening fails at its guard.
-            held = Claim(mutation.key, mutation.token, '', wall)
-        if held is None or held.token != mutation.token:
+        claim = self._claims.get(mutation.key)
+        if claim is None and mutation.state is State.NOT_RUN:
+            # Storing the claim also changes the bucket's store revision,
+            # so the guard of a delayed write of the Open fails.
+            claim = Claim(mutation.key, mutation.token, '', wall)
+        if claim is None or claim.token != mutation.token:
             return Recorded(mutation.state)
-        if held.state in (State.DONE, State.NOT_RUN):
-            return Recorded(held.state)
-        if held.state is mutation.state:
-            return Recorded(held.state)
+        if claim.state in (State.DONE, State.NOT_RUN):
+            return Recorded(claim.state)
+        if claim.state is mutation.state:
+            return Recorded(claim.state)
         self._claims[mutation.key] = attrs.evolve(
-            held,
+            claim,
             state=mutation.state,
             changed=wall,
             answer=mutation.answer,
@@ -250,14 +265,14 @@
     def compact(self, wall):
         """Drops claims that are older than the retention.
 
-        A claim whose outcome is unknown stays.
+        Claims that are open or have an unknown outcome stay.
         """
-        floor = wall - self._cfg.retention_s
-        over = [
+        oldest = wall - self._cfg.retention_s
+        expired = [
             key
             for key, claim in self._claims.items()
-            if claim.changed < floor
+            if claim.changed < oldest
             and claim.state in (State.DONE, State.NOT_RUN)
         ]
-        for key in over:
+        for key in expired:
             del self._claims[key]
