--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -1,5 +1,16 @@
 """At-most-once execution of calls that may not be repeated."""
 
+from dandelionwinch.claims._at_most_once import CloseClaim
+from dandelionwinch.claims._at_most_once import Done
+from dandelionwinch.claims._at_most_once import NotGranted
+from dandelionwinch.claims._at_most_once import NotRun
+from dandelionwinch.claims._at_most_once import OpenClaim
+from dandelionwinch.claims._at_most_once import Outcome
+from dandelionwinch.claims._at_most_once import QueryOutcome
+from dandelionwinch.claims._at_most_once import run_at_most_once
+from dandelionwinch.claims._at_most_once import SendCall
+from dandelionwinch.claims._at_most_once import SendResult
+from dandelionwinch.claims._at_most_once import Unknown
 from dandelionwinch.claims._bucket import Bucket
 from dandelionwinch.claims._bucket import Claim
 from dandelionwinch.claims._bucket import Close
@@ -18,20 +29,9 @@
 from dandelionwinch.claims._commit import Unreached
 from dandelionwinch.claims._commit import Unsettled
 from dandelionwinch.claims._keys import key_time
-from dandelionwinch.claims._once import CloseClaim
-from dandelionwinch.claims._once import Done
-from dandelionwinch.claims._once import NotGranted
-from dandelionwinch.claims._once import NotRun
-from dandelionwinch.claims._once import OpenClaim
-from dandelionwinch.claims._once import Outcome
-from dandelionwinch.claims._once import QueryOutcome
-from dandelionwinch.claims._once import run_at_most_once
-from dandelionwinch.claims._once import SendCall
-from dandelionwinch.claims._once import SendResult
-from dandelionwinch.claims._once import Unknown
-from dandelionwinch.claims._resolve import needs_resolution
-from dandelionwinch.claims._resolve import OutcomeStatus
-from dandelionwinch.claims._resolve import resolved_state
+from dandelionwinch.claims._resolution import needs_resolution
+from dandelionwinch.claims._resolution import OutcomeStatus
+from dandelionwinch.claims._resolution import resolved_state
 
 __all__ = [
     'Bucket',
--- a/dandelionwinch/claims/_commit.py
+++ b/dandelionwinch/claims/_commit.py
@@ -1,4 +1,4 @@
-"""Group commit of claims: many changes in one write of a bucket."""
+"""Group commit of claims: one store write for many mutations."""
 
 import attrs
 
@@ -6,7 +6,7 @@
 from dandelionwinch import effects
 from dandelionwinch import utils
 
-MAX_ATTEMPTS = 8
+MAX_WRITE_ATTEMPTS = 8
 
 
 @attrs.frozen
@@ -16,11 +16,11 @@
 
 @attrs.frozen
 class Unsettled:
-    """Result: the change may have been written, now or later."""
+    """Result: the mutation may have been written or may still be."""
 
 
 def bucket_of(key, buckets):
-    """Returns the number of the bucket that a key belongs to."""
+    """Returns the number of the bucket that holds a key."""
     return utils.stable_hash('claim', key) % buckets
 
 
@@ -30,22 +30,23 @@
 
 
 def commit_batch(store_key, mutations, cfg):
-    """Writes a batch of changes to one bucket.
+    """Applies a batch of mutations to one bucket (sans-I/O program).
 
-    Compare-and-swap alone carries safety: a lost race or a lost answer
-    leads to reading again, and changes are idempotent by token, so
-    applying them again is harmless.
+    Safety rests on compare-and-swap alone. After a conflict or a lost
+    reply the bucket is read again and the mutations are applied again,
+    which is harmless because they are idempotent by token.
 
     Args:
         store_key: Store key of the bucket.
-        mutations: Changes in order.
-        cfg: The claims' settings.
+        mutations: Opens and Closes in order.
+        cfg: The ClaimSettings.
 
     Returns:
-        One result for each change.
+        One result for each mutation: a result of Bucket.apply, Unreached
+        or Unsettled.
     """
     uncertain = False
-    for _attempt in range(MAX_ATTEMPTS):
+    for _attempt in range(MAX_WRITE_ATTEMPTS):
         reply = yield effects.Read(store_key)
         if not isinstance(reply, effects.Found):
             break
