--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -1,4 +1,4 @@
-"""At-most-once execution of calls that may not be repeated."""
+"""At-most-once execution of calls that are not idempotent."""
 
 from dandelionwinch.claims._at_most_once import CloseClaim
 from dandelionwinch.claims._at_most_once import Done
--- a/dandelionwinch/revisions/__init__.py
+++ b/dandelionwinch/revisions/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: revisions that never revert."""
+"""The operators' configuration and its monotonic revisions."""
 
 from dandelionwinch.revisions._documents import Document
 from dandelionwinch.revisions._documents import Documents
--- a/dandelionwinch/revisions/_documents.py
+++ b/dandelionwinch/revisions/_documents.py
@@ -1,16 +1,16 @@
-"""The documents of one instance, at the revision that it holds."""
+"""The configuration documents of one instance."""
 
 import attrs
 
 
 @attrs.frozen
 class Document:
-    """One document.
+    """One configuration document.
 
     Attributes:
         path: Kind and name, such as ``upstream/lm-1``.
-        revision: Configuration revision that wrote it.
-        value: Bare value, or None if it was removed.
+        revision: Configuration revision that last wrote it.
+        value: Content, or None if the document was removed.
     """
 
     path: str
@@ -19,7 +19,11 @@
 
 
 class Documents:
-    """A set of documents that only moves to higher revisions."""
+    """All documents at one revision, which only ever increases.
+
+    Attributes:
+        revision: The configuration revision.
+    """
 
     __slots__ = ('_by_path', 'revision')
 
@@ -28,26 +32,26 @@
         self.revision = 0
 
     def adopt(self, revision, documents):
-        """Takes over all changes up to a revision.
+        """Applies all changes up to a revision.
 
         Args:
             revision: Revision that is complete with these documents.
-            documents: Documents changed since the one that is held.
+            documents: Documents that changed since the present revision.
 
         Returns:
-            Whether the revision was higher than the one held.
+            Whether the revision was higher than the present one.
         """
         if revision <= self.revision:
             return False
         for document in documents:
-            held = self._by_path.get(document.path)
-            if held is None or held.revision < document.revision:
+            present = self._by_path.get(document.path)
+            if present is None or present.revision < document.revision:
                 self._by_path[document.path] = document
         self.revision = revision
         return True
 
     def changed_since(self, revision):
-        """Returns the documents that changed after a revision."""
+        """Returns the documents written after a revision."""
         return [
             document
             for document in self._by_path.values()
@@ -55,7 +59,7 @@
         ]
 
     def values(self):
-        """Returns the bare values of existing documents by path."""
+        """Returns the contents by path, without removed documents."""
         return {
             path: document.value
             for path, document in self._by_path.items()
--- a/dandelionwinch/revisions/_programs.py
+++ b/dandelionwinch/revisions/_programs.py
@@ -1,4 +1,4 @@
-"""Reading and changing the configuration in the store."""
+"""Sans-I/O programs that read and change the stored configuration."""
 
 import json
 
@@ -10,12 +10,19 @@
 PREFIX = 'settings/'
 HEAD_KEY = 'settings/head'
 DOCUMENT_PREFIX = 'settings/doc/'
-MAX_ATTEMPTS = 6
+MAX_WRITE_ATTEMPTS = 6
 
 
 @attrs.frozen
 class Fetched:
-    """Result: all changes up to a revision, from one snapshot."""
+    """Result: all changes up to a revision, from one snapshot.
+
+    Attributes:
+        revision: Configuration revision of the head, or 0 if the head
+            did not change or does not exist.
+        documents: Tuple with each changed Document.
+        store_revision: Store revision of the snapshot.
+    """
 
     revision: int
     documents: tuple
@@ -24,7 +31,7 @@
 
 @attrs.frozen
 class Unreached:
-    """Result: the store gave no answer.
+    """Result: the store did not answer, or every write conflicted.
 
     Attributes:
         uncertain: Whether a write may have taken effect.
@@ -35,14 +42,19 @@
 
 @attrs.frozen
 class Changed:
-    """Result: the change is committed as this revision."""
+    """Result: the change was committed as this revision."""
 
     revision: int
 
 
 @attrs.frozen
 class Rejected:
-    """Result: the document is at another revision than was named."""
+    """Result: the document is not at the revision that was expected.
+
+    Attributes:
+        path: Path of the document.
+        revision: Revision that the document is at.
+    """
 
     path: str
     revision: int
@@ -59,17 +71,18 @@
     return json.dumps(raw, separators=(',', ':')).encode()
 
 
-def fetch(after):
-    """Reads what changed, in one consistent snapshot.
+def fetch(store_revision):
+    """Reads all changes since a snapshot, in one consistent snapshot.
 
     Args:
-        after: Store revision of the last snapshot, or 0 for all.
+        store_revision: Store revision of the last snapshot, or 0 to read
+            everything.
 
     Returns:
-        Fetched or Unreached. A revision of 0 means that nothing
-        changed, or that there is no configuration yet.
+        Fetched or Unreached. A configuration revision of 0 means that
+        nothing changed, or that there is no configuration yet.
     """
-    reply = yield effects.Scan(PREFIX, after)
+    reply = yield effects.Scan(PREFIX, store_revision)
     if not isinstance(reply, effects.Scanned):
         return Unreached()
     revision = 0
@@ -85,20 +98,21 @@
 def change(edit, token):
     """Commits a change to the newest configuration.
 
-    The head and the documents change in one transaction. A lost answer
-    is settled by looking for the change's token in the head.
+    The head and the documents are written in one transaction. If a reply
+    is lost, the next attempt finds the change's token in the head when
+    the write took effect, so that no change is committed twice.
 
     Args:
         edit: Function from Documents at the newest revision to a
-            mapping of path to new bare value (None removes it). It
-            may raise, or return a Rejected.
-        token: Text that no other change carries.
+            mapping of path to new content (None removes the document).
+            It may raise, or return a Rejected.
+        token: String that is unique to this change.
 
     Returns:
         Changed, Rejected or Unreached.
     """
     uncertain = False
-    for _attempt in range(MAX_ATTEMPTS):
+    for _attempt in range(MAX_WRITE_ATTEMPTS):
         reply = yield effects.Scan(PREFIX)
         if not isinstance(reply, effects.Scanned):
             return Unreached(uncertain)
@@ -110,15 +124,15 @@
             else:
                 documents.append(_load_document(record))
         raw = json.loads(head.value) if head.value else {}
-        settled = raw.get('tokens', {}).get(token)
-        if settled is not None:
-            return Changed(settled)
-        held = _documents.Documents()
-        held.adopt(raw.get('revision', 0), documents)
-        edits = edit(held)
+        committed = raw.get('tokens', {}).get(token)
+        if committed is not None:
+            return Changed(committed)
+        newest = _documents.Documents()
+        newest.adopt(raw.get('revision', 0), documents)
+        edits = edit(newest)
         if isinstance(edits, Rejected):
             return edits
-        revision = held.revision + 1
+        revision = newest.revision + 1
         written = yield _commit_of(head, raw, revision, edits, token)
         match written:
             case effects.Committed():
@@ -130,16 +144,17 @@
     return Unreached(uncertain)
 
 
-TOKENS_KEPT = 64
+# Number of newest changes whose tokens the head keeps.
+MAX_TOKENS = 64
 
 
 def _commit_of(head, raw, revision, edits, token):
     tokens = {**raw.get('tokens', {}), token: revision}
-    newest = dict(list(tokens.items())[-TOKENS_KEPT:])
+    newest = dict(list(tokens.items())[-MAX_TOKENS:])
     value = {'revision': revision, 'tokens': newest}
     puts = [effects.Put(HEAD_KEY, json.dumps(value).encode())]
-    for path, bare in edits.items():
-        document = _documents.Document(path, revision, bare)
+    for path, content in edits.items():
+        document = _documents.Document(path, revision, content)
         puts.append(
             effects.Put(DOCUMENT_PREFIX + path, _dump_document(document))
         )
--- a/dandelionwinch/revisions/_rollout.py
+++ b/dandelionwinch/revisions/_rollout.py
@@ -1,17 +1,20 @@
-"""When a committed change may be called accepted."""
+"""Rollout of a committed configuration revision to all instances."""
 
 import attrs
 
+# Lengthens the wait, as the clocks of instances may run at other rates.
 CLOCK_DRIFT_RATIO = 1.1
 
 
 @attrs.frozen
 class RolloutStatus:
-    """How far a committed revision has come.
+    """Rollout status of a committed revision.
 
     Attributes:
-        accepted: Whether no instance takes work under an older one.
-        missing: Instances that have not confirmed it.
+        accepted: Whether no instance admits work under an older revision
+            any more.
+        unconfirmed: Names of the instances that have not confirmed the
+            revision.
         reason: Why it is not accepted yet, or empty.
     """
 
@@ -21,13 +24,14 @@
 
 
 class RolloutTracker:
-    """Watches one committed revision until it is accepted.
+    """Tracks one committed revision until it is accepted.
 
-    It is accepted once a majority of data centres hold it as a whole for
-    longer than an instance may go without contact. From then on an
-    instance with an older revision has either met one of them, and so
-    fetched the revision, or refuses new work by itself. This covers
-    instances that are cut off and such as nobody here knows yet.
+    A revision is accepted once a majority of data centres, each with all
+    its instances, has held it for longer than an instance may go without
+    contact. By then every instance with an older revision has either
+    exchanged a heartbeat with one of them, and so fetched the revision,
+    or refuses new work by itself. This also covers instances that are
+    partitioned and instances that are not known here yet.
 
     Args:
         revision: The committed revision.
@@ -36,41 +40,46 @@
             refuses new work.
     """
 
-    __slots__ = ('_cut_off_s', '_data_centres', '_revision', '_whole_since')
+    __slots__ = (
+        '_cut_off_s',
+        '_data_centres',
+        '_majority_since',
+        '_revision',
+    )
 
     def __init__(self, revision, data_centres, cut_off_s):
         self._revision = revision
         self._data_centres = tuple(data_centres)
         self._cut_off_s = cut_off_s
-        self._whole_since = None
+        self._majority_since = None
 
     def observe(self, members, now):
-        """Judges the present state.
+        """Updates the rollout from the known instances.
 
         Args:
-            members: Known instances that are not certainly gone.
-            now: Time in seconds.
+            members: PeerStates of instances that are not certainly gone.
+            now: Monotonic time in seconds.
 
         Returns:
-            An Acceptance.
+            A RolloutStatus.
         """
-        unconfirmed = [k for k in members if k.revision < self._revision]
-        names = tuple(known.name for known in unconfirmed)
-        lacking = {known.data_centre for known in unconfirmed}
-        met = {known.data_centre for known in members} - lacking
-        whole = [
+        unconfirmed = [m for m in members if m.revision < self._revision]
+        names = tuple(member.name for member in unconfirmed)
+        outdated = {member.data_centre for member in unconfirmed}
+        updated = {member.data_centre for member in members} - outdated
+        confirmed = [
             data_centre
             for data_centre in self._data_centres
-            if data_centre in met
+            if data_centre in updated
         ]
-        if 2 * len(whole) <= len(self._data_centres):
-            self._whole_since = None
+        if 2 * len(confirmed) <= len(self._data_centres):
+            self._majority_since = None
             return RolloutStatus(
                 False, names, 'no majority of data_centres holds it'
             )
-        if self._whole_since is None:
-            self._whole_since = now
-        waited_s = now - self._whole_since
+        if self._majority_since is None:
+            self._majority_since = now
+        waited_s = now - self._majority_since
         if waited_s <= self._cut_off_s * CLOCK_DRIFT_RATIO:
             return RolloutStatus(
                 False, names, 'unreached instances may still take work'
