--- a/dandelionwinch/revisions/_rollout.py
+++ b/dandelionwinch/revisions/_rollout.py
@@ -29,8 +29,8 @@
     A revision is accepted once a majority of data centres, each with all
     its instances, has held it for longer than an instance may go without
     contact. By then every instance with an older revision has either
-    exchanged a heartbeat with one of them, and so fetched the revision,
-    or refuses new work by itself. This also covers instances that are
+    been in contact with one of them, and so fetched the revision, or
+    refuses new work by itself. This also covers instances that are
     partitioned and instances that are not known here yet.
 
     Args:
