--- a/dandelionwinch/jobs/__init__.py
+++ b/dandelionwinch/jobs/__init__.py
@@ -1,9 +1,9 @@
-"""Jobs: requests of clients, their attempts and whole answers."""
+"""Jobs: parsed requests, assembly of their answers and job history."""
 
 from dandelionwinch.jobs._assembly import AnswerAssembly
 from dandelionwinch.jobs._assembly import StreamGap
-from dandelionwinch.jobs._book import JobHistory
-from dandelionwinch.jobs._book import JobRecord
+from dandelionwinch.jobs._history import JobHistory
+from dandelionwinch.jobs._history import JobRecord
 from dandelionwinch.jobs._requests import CompletionRequest
 from dandelionwinch.jobs._requests import continuation_body
 from dandelionwinch.jobs._requests import parse_completion
--- a/dandelionwinch/jobs/_assembly.py
+++ b/dandelionwinch/jobs/_assembly.py
@@ -1,46 +1,50 @@
-"""Puts one whole answer together from the pieces of attempts."""
+"""Assembles one answer from the pieces of several attempts."""
 
 
 class StreamGap(Exception):
-    """A piece arrived after one that is missing."""
+    """A piece arrived although one before it is missing."""
 
 
 class AnswerAssembly:
-    """The answer of one job, whatever attempt its pieces come from.
+    """The answer of one job over all its attempts.
 
-    Each attempt has a number. Pieces of a superseded attempt are
-    dropped, as are pieces that arrive twice. An attempt either resumes
-    the generation of the one before it, with the same offsets, or
-    continues the text on another upstream with offsets from zero.
+    Attempts are numbered. Pieces of a superseded attempt and duplicate
+    pieces are dropped. An attempt either resumes the generation of the
+    attempt before it, with the same offsets, or continues the text as a
+    new generation on another upstream, with offsets from zero.
 
     Attributes:
-        tokens: Pieces with text; the last piece often has none.
+        attempt: Number of the newest attempt.
+        next_offset: Index in the answer of the next piece.
+        ended: Whether the answer is complete.
+        tokens: Number of pieces with text; the last piece often has
+            none.
     """
 
     __slots__ = (
-        '_base',
+        '_generation_start',
+        '_texts',
         'attempt',
         'ended',
         'next_offset',
-        'parts',
         'tokens',
     )
 
     def __init__(self):
         self.attempt = 0
         self.next_offset = 0
-        self.parts = []
+        self._texts = []
         self.ended = False
         self.tokens = 0
-        self._base = 0
+        self._generation_start = 0
 
     @property
     def text(self):
         """Text of the answer so far."""
-        return ''.join(self.parts)
+        return ''.join(self._texts)
 
     def resume(self):
-        """Starts an attempt that goes on with the same generation.
+        """Starts an attempt that resumes the same generation.
 
         Returns:
             The attempt's number.
@@ -49,17 +53,21 @@
         return self.attempt
 
     def start_continuation(self):
-        """Starts an attempt that continues the text elsewhere."""
+        """Starts an attempt that continues the text as a new generation.
+
+        Returns:
+            The attempt's number.
+        """
         self.attempt += 1
-        self._base = self.next_offset
+        self._generation_start = self.next_offset
         return self.attempt
 
     def resume_after(self):
-        """Returns the last offset seen of the generation, or -1."""
-        return self.next_offset - self._base - 1
+        """Returns the last offset received of the generation, or -1."""
+        return self.next_offset - self._generation_start - 1
 
     def accept(self, attempt, offset, text):
-        """Takes in a piece.
+        """Adds a piece unless it is stale or a duplicate.
 
         Args:
             attempt: Number of the attempt that it belongs to.
@@ -68,28 +76,34 @@
             text: Its text.
 
         Returns:
-            Whether the piece is new and is to be passed on.
+            Whether the piece is new and has to be passed on.
 
         Raises:
             StreamGap: If a piece before it is missing.
         """
         if attempt != self.attempt or self.ended:
             return False
-        place = self.next_offset if offset < 0 else self._base + offset
-        if place < self.next_offset:
+        index = (
+            self.next_offset if offset < 0 else self._generation_start + offset
+        )
+        if index < self.next_offset:
             return False
-        if place > self.next_offset:
+        if index > self.next_offset:
             raise StreamGap(
-                f'piece {place} arrived while piece {self.next_offset} '
+                f'piece {index} arrived while piece {self.next_offset} '
                 'is missing'
             )
         self.next_offset += 1
         self.tokens += bool(text)
-        self.parts.append(text)
+        self._texts.append(text)
         return True
 
     def end(self, attempt):
-        """Takes in the explicit end of an attempt's stream."""
+        """Records the explicit end of an attempt's stream.
+
+        Returns:
+            Whether the answer is complete.
+        """
         if attempt == self.attempt:
             self.ended = True
         return self.ended
--- a/dandelionwinch/jobs/_requests.py
+++ b/dandelionwinch/jobs/_requests.py
@@ -1,4 +1,4 @@
-"""Requests for completions, checked before they become jobs."""
+"""Parsing and validation of requests for completions."""
 
 import json
 
@@ -10,22 +10,27 @@
 CHAT_PATH = '/v1/chat/completions'
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS_LIMIT = 131072
-PREFIX_CHARACTERS = 1024
-LEAST_PRIORITY = -10
-MOST_PRIORITY = 10
+PREFIX_CHARS = 1024
+MIN_PRIORITY = -10
+MAX_PRIORITY = 10
 
 
 @attrs.frozen
 class CompletionRequest:
-    """A checked request.
+    """A validated request for a completion.
 
     Attributes:
-        path: Interface path at the upstream.
-        body: The request as the client sent it.
-        prompt_tokens: Estimated size of the prompt.
-        prefix: Hash of the prompt's beginning, for cache beliefs.
-        continuable: Whether another upstream can continue a part of the
-            answer, because it is one plain text.
+        path: API path at the upstream.
+        body: The request's JSON object as the client sent it.
+        model: Name of the model.
+        stream: Whether the client asked for a stream.
+        prompt_tokens: Estimated number of tokens of the prompt.
+        max_tokens: Largest number of tokens of the answer.
+        prefix: Hash of the model and the start of the prompt, by which
+            placement estimates prefix cache hits.
+        priority: The client's priority, from -10 to 10.
+        continuable: Whether another upstream can continue a partial
+            answer, because the answer is a single plain text.
     """
 
     path: str
@@ -40,12 +45,19 @@
 
     @property
     def chat(self):
-        """Whether it is a chat."""
+        """Whether this is a chat completion."""
         return self.path == CHAT_PATH
 
 
 def parse_completion(path, raw):
-    """Checks a client's request.
+    """Parses and validates a client's request.
+
+    Args:
+        path: API path of the request.
+        raw: Body of the request in bytes.
+
+    Returns:
+        A CompletionRequest.
 
     Raises:
         BadRequest: If the body is malformed; names the field.
@@ -70,20 +82,23 @@
         model,
         stream,
         utils.estimate_tokens(text),
-        _whole(body, 'max_tokens', DEFAULT_MAX_TOKENS, 1, MAX_TOKENS_LIMIT),
-        utils.stable_hash(model, text[:PREFIX_CHARACTERS]),
-        _whole(body, 'priority', 0, LEAST_PRIORITY, MOST_PRIORITY),
-        _is_plain(body),
+        _int_field(
+            body, 'max_tokens', DEFAULT_MAX_TOKENS, 1, MAX_TOKENS_LIMIT
+        ),
+        utils.stable_hash(model, text[:PREFIX_CHARS]),
+        _int_field(body, 'priority', 0, MIN_PRIORITY, MAX_PRIORITY),
+        _is_continuable(body),
     )
 
 
-def _whole(body, name, default, least, most):
+def _int_field(body, name, default, min_value, max_value):
     value = body.get(name)
     if value is None:
         return default
-    if type(value) is not int or not least <= value <= most:
+    if type(value) is not int or not min_value <= value <= max_value:
         raise errors.BadRequest(
-            f'field "{name}" is not a whole number from {least} to {most}'
+            f'field "{name}" is not a whole number from {min_value} to '
+            f'{max_value}'
         )
     return value
 
@@ -99,36 +114,39 @@
     messages = body.get('messages')
     if not isinstance(messages, list) or not messages:
         raise errors.BadRequest('field "messages" is not a filled list')
-    parts = []
+    contents = []
     for index, message in enumerate(messages):
         if not isinstance(message, dict):
             raise errors.BadRequest(f'messages[{index}] is not an object')
         if not isinstance(message.get('role'), str):
             raise errors.BadRequest(f'messages[{index}].role is missing')
         content = message.get('content')
-        parts.append(
+        contents.append(
             content if isinstance(content, str) else json.dumps(content)
         )
-    return '\n'.join(parts)
+    return '\n'.join(contents)
 
 
-def _is_plain(body):
-    fancy = ('tools', 'functions', 'logprobs', 'echo', 'best_of')
-    return body.get('n', 1) == 1 and not any(body.get(k) for k in fancy)
+def _is_continuable(body):
+    excluded = ('tools', 'functions', 'logprobs', 'echo', 'best_of')
+    return body.get('n', 1) == 1 and not any(body.get(k) for k in excluded)
 
 
-def continuation_body(job, partial, made):
-    """Returns the body that continues a partial answer.
+def continuation_body(job, partial, generated_tokens):
+    """Returns the request body that continues a partial answer.
 
     Args:
-        job: The Completion.
+        job: The CompletionRequest.
         partial: Text of the answer so far.
-        made: Tokens of it.
+        generated_tokens: Number of tokens of that text.
+
+    Returns:
+        A dict; the client's own body if there is no text so far.
     """
     body = dict(job.body)
     if not partial:
         return body
-    body['max_tokens'] = max(1, job.max_tokens - made)
+    body['max_tokens'] = max(1, job.max_tokens - generated_tokens)
     if job.chat:
         message = {'role': 'assistant', 'content': partial}
         body['messages'] = [*body['messages'], message]
