--- a/dandelionwinch/earnings/__init__.py
+++ b/dandelionwinch/earnings/__init__.py
@@ -1,4 +1,4 @@
-"""The cut of work that was finished and reached its caller."""
+"""Accounting of finished work that was delivered to its client."""
 
 from dandelionwinch.earnings._ledger import Ledger
 from dandelionwinch.earnings._ledger import ledger_key
--- a/dandelionwinch/earnings/_ledger.py
+++ b/dandelionwinch/earnings/_ledger.py
@@ -1,8 +1,8 @@
-"""Batched, idempotent bookings of earnings.
+"""Totals of delivered work by team, written to the store in batches.
 
 Each process keeps running totals under a store key of its own, named
-by instance and incarnation. A write replaces the totals, so writing
-twice counts once, and no other process writes there.
+by instance and incarnation. A write replaces the totals, so repeating
+it counts nothing twice, and no other process writes to that key.
 """
 
 import json
@@ -11,17 +11,20 @@
 
 from dandelionwinch import effects
 
-BOOKED_KEPT = 4096
-WRITES_PER_S = 20.0
+# Number of newest job ids that are remembered to detect duplicates.
+MAX_RECORDED_JOBS = 4096
+# Rate of writes by all instances together.
+TOTAL_WRITES_PER_S = 20.0
 
 
 @attrs.frozen
 class Total:
-    """What one process earned for one team.
+    """Work that one process delivered for one team.
 
     Attributes:
-        jobs: Jobs whose whole answer reached its client.
-        tokens: Output tokens or, for services, calls of those jobs.
+        jobs: Number of jobs whose whole answer reached its client.
+        tokens: Output tokens of those jobs; a call of a service counts
+            as one.
     """
 
     jobs: int = 0
@@ -33,59 +36,72 @@
     return f'earnings/{instance}/{incarnation}'
 
 
-def write_interval_s(least_s, instances):
-    """Returns how often an instance writes its totals.
+def write_interval_s(min_interval_s, instances):
+    """Returns the seconds between two writes of an instance's totals.
 
-    The period grows with the number of instances, so that all of them
-    together write at a rate that stays the same.
+    The interval grows with the number of instances, so that all of them
+    together write at a constant rate.
+
+    Args:
+        min_interval_s: Shortest interval in seconds.
+        instances: Number of instances that write.
     """
-    return max(least_s, instances / WRITES_PER_S)
+    return max(min_interval_s, instances / TOTAL_WRITES_PER_S)
 
 
 class Ledger:
-    """Running totals of one process, and what is not yet written.
+    """Running totals of one process, and the totals last written.
 
-    A crash loses at most what was earned since the last write; it
+    A crash loses at most the jobs recorded since the last write; it
     never counts a job twice.
+
+    Args:
+        instance: Name of the instance.
+        incarnation: Incarnation of its process.
     """
 
-    __slots__ = ('_booked', '_key', '_totals', '_written')
+    __slots__ = ('_key', '_recorded', '_totals', '_written')
 
     def __init__(self, instance, incarnation):
         self._key = ledger_key(instance, incarnation)
         self._totals = {}
         self._written = {}
-        self._booked = {}
+        self._recorded = {}
 
     def record_job(self, job_id, team, tokens):
-        """Books a delivered job once.
+        """Adds a delivered job to the totals unless it was added before.
+
+        Args:
+            job_id: Identifier of the job.
+            team: Name of the team.
+            tokens: Tokens that were delivered.
 
         Returns:
             Whether the job was new.
         """
-        if job_id in self._booked:
+        if job_id in self._recorded:
             return False
-        self._booked[job_id] = None
-        if len(self._booked) > BOOKED_KEPT:
-            self._booked.pop(next(iter(self._booked)))
+        self._recorded[job_id] = None
+        if len(self._recorded) > MAX_RECORDED_JOBS:
+            self._recorded.pop(next(iter(self._recorded)))
         total = self._totals.get(team, Total())
         self._totals[team] = Total(total.jobs + 1, total.tokens + tokens)
         return True
 
     def totals(self):
-        """Returns Total by team."""
+        """Returns a dict of Total by team."""
         return dict(self._totals)
 
     def unwritten_jobs(self):
-        """Returns how many booked jobs a crash would lose now."""
-        booked = sum(total.jobs for total in self._totals.values())
-        return booked - sum(t.jobs for t in self._written.values())
+        """Returns the number of jobs that a crash would lose now."""
+        recorded = sum(total.jobs for total in self._totals.values())
+        return recorded - sum(t.jobs for t in self._written.values())
 
     def write(self):
-        """Writes the totals if they changed.
+        """Writes the totals if they changed (sans-I/O program).
 
         Returns:
-            Whether the store holds the totals.
+            Whether the store has the current totals.
         """
         if self._totals == self._written:
             return True
--- a/dandelionwinch/jobs/_requests.py
+++ b/dandelionwinch/jobs/_requests.py
@@ -141,7 +141,7 @@
         generated_tokens: Number of tokens of that text.
 
     Returns:
-        A dict; the client's own body if there is no text so far.
+        A dict; a copy of the client's body if there is no text so far.
     """
     body = dict(job.body)
     if not partial:
