--- a/dandelionwinch/listeners.py
+++ b/dandelionwinch/listeners.py
@@ -1,4 +1,4 @@
-"""HTTP listeners for clients and for operators, by cheroot."""
+"""HTTP listeners for clients and operators, based on cheroot."""
 
 import hmac
 import http
@@ -16,15 +16,26 @@
 from dandelionwinch import errors
 
 BACKLOG = 512
-SPARE_BODY_BYTES = 4096
-SHUTDOWN_S = 5
+# cheroot's own limit on a body is higher by this, so that a body slightly
+# over the limit is refused here, with a JSON error.
+BODY_MARGIN_BYTES = 4096
+SHUTDOWN_TIMEOUT_S = 5
 
 logger = loguru.logger
 
 
 @attrs.frozen
 class Request:
-    """One request of a client or an operator."""
+    """One request of a client or an operator.
+
+    Attributes:
+        id: Identifier, which the answer carries as X-Request-Id.
+        method: HTTP method.
+        path: Path without the query.
+        query: Parameters of the query by name; the last value counts.
+        headers: Header values by lower-case name.
+        body: Whole body.
+    """
 
     id: str
     method: str
@@ -34,16 +45,21 @@
     body: bytes
 
     def header(self, name, default=''):
-        """Returns a header's value."""
+        """Returns the value of a header, or a default."""
         return self.headers.get(name.lower(), default)
 
 
 @attrs.define
 class Response:
-    """An answer: a body, or chunks that are made while they are sent.
+    """An answer with a whole body or with a stream of chunks.
 
     Attributes:
-        chunks: Iterator of bytes; closed if the caller goes away.
+        status: HTTP status.
+        body: Whole body, if there are no chunks.
+        content_type: Value of the header Content-Type.
+        headers: Other headers by name.
+        chunks: Iterator of bytes that is sent instead of the body, or
+            None; closed if the client disconnects.
     """
 
     status: int = 200
@@ -60,11 +76,14 @@
 
 
 def error_body(exc, request_id):
-    """Returns the JSON form of an error.
+    """Returns the JSON object that reports an error.
 
     Args:
         exc: A DandelionwinchError.
         request_id: Identifier of the request.
+
+    Returns:
+        A dict with the single field ``error``.
     """
     error = {
         'code': exc.code,
@@ -83,7 +102,7 @@
 
 
 def error_response(exc, request_id):
-    """Returns the response that refuses a request."""
+    """Returns the response that reports an error."""
     response = json_response(error_body(exc, request_id), exc.status)
     if exc.retry_after_s is not None:
         seconds = max(1, round(exc.retry_after_s))
@@ -92,10 +111,14 @@
 
 
 def check_token(request, token):
-    """Compares the bearer token in constant time.
+    """Checks the bearer token of a request, in constant time.
+
+    Args:
+        request: The Request.
+        token: The expected token; an empty one allows every request.
 
     Raises:
-        Unauthorized: If a token is set and another one was given.
+        Unauthorized: If the request's token is missing or differs.
     """
     if not token:
         return
@@ -105,10 +128,10 @@
 
 
 class Listener:
-    """Serves one handler on one address.
+    """Serves requests on one address by one handler.
 
     Args:
-        address: IP number and port.
+        address: IP address and port.
         handler: Function from Request to Response; it may raise a
             DandelionwinchError.
         threads: Number of worker threads.
@@ -125,10 +148,10 @@
             numthreads=threads,
             request_queue_size=BACKLOG,
             timeout=cfg.relay.client_timeout_s,
-            shutdown_timeout=SHUTDOWN_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         )
         self._server.max_request_header_size = cfg.relay.max_header_bytes
-        self._server.max_request_body_size = self._limit + SPARE_BODY_BYTES
+        self._server.max_request_body_size = self._limit + BODY_MARGIN_BYTES
         self._server.error_log = _log_server_error
         security = cfg.security
         if security.certificate_file:
@@ -140,19 +163,19 @@
         )
 
     def start(self):
-        """Binds the address and serves."""
+        """Binds the address and serves it in a thread."""
         self._server.prepare()
         self._thread.start()
 
     def close(self):
         """Stops serving."""
         self._server.stop()
-        self._thread.join(timeout=SHUTDOWN_S)
+        self._thread.join(timeout=SHUTDOWN_TIMEOUT_S)
 
     def _application(self, environ, start_response):
         request_id = uuid.uuid4().hex
         try:
-            request = self._read(environ, request_id)
+            request = self._parse(environ, request_id)
             response = self._handler(request)
         except errors.DandelionwinchError as exc:
             response = error_response(exc, request_id)
@@ -161,9 +184,9 @@
             exc = errors.DandelionwinchError('an internal error occurred')
             exc.execution = errors.ExecutionStatus.UNKNOWN
             response = error_response(exc, request_id)
-        return _send(response, request_id, start_response)
+        return _start(response, request_id, start_response)
 
-    def _read(self, environ, request_id):
+    def _parse(self, environ, request_id):
         headers = {
             name[5:].replace('_', '-').lower(): value
             for name, value in environ.items()
@@ -205,7 +228,7 @@
         return body
 
 
-def _send(response, request_id, start_response):
+def _start(response, request_id, start_response):
     headers = [
         ('Content-Type', response.content_type),
         ('X-Request-Id', request_id),
