--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: wires its stages in order."""
+"""The entry daemon, which serves clients and operators over HTTP."""
 
 import threading
 
@@ -13,15 +13,15 @@
 
 OPERATOR_THREADS = 8
 DEFAULT_TEAM = 'default'
-_SERVICES = '/v1/services/'
-_COMPLETIONS = ('/v1/completions', '/v1/chat/completions')
-_HEALTH = ('/healthz', '/readyz', '/metrics')
+_SERVICE_PREFIX = '/v1/services/'
+_COMPLETION_PATHS = ('/v1/completions', '/v1/chat/completions')
+_HEALTH_PATHS = ('/healthz', '/readyz', '/metrics')
 
 logger = loguru.logger
 
 
 class Entry:
-    """One entry instance: settings, core, relays and listeners.
+    """One entry instance: its core, relays and listeners.
 
     Args:
         cfg: EntrySettings.
@@ -48,18 +48,18 @@
 
     @property
     def core(self):
-        """The core, for embedding in other programs."""
+        """The Core, for programs that embed the instance."""
         return self._core
 
     def start(self):
-        """Starts the core first and the clients' listener last."""
+        """Starts the core, then the listeners, that of clients last."""
         self._core.start()
         self._operators.start()
         self._clients.start()
         logger.info('serving clients on {}', self._cfg.instance.client_address)
 
     def stop(self):
-        """Stops as planned: nothing in flight is cut."""
+        """Drains the instance and closes it: no running job is cut off."""
         if self._stopped.is_set():
             return
         self._stopped.set()
@@ -68,7 +68,7 @@
         self.close()
 
     def close(self):
-        """Closes listeners and the core at once."""
+        """Closes the listeners and the core without draining."""
         self._clients.close()
         self._operators.close()
         self._service_relay.close()
@@ -76,7 +76,7 @@
         logger.info('stopped')
 
     def _serve_client(self, request):
-        if request.path in _HEALTH:
+        if request.path in _HEALTH_PATHS:
             return self._health(request)
         listeners.check_token(request, self._cfg.security.client_token)
         team = request.header('x-team', DEFAULT_TEAM)
@@ -85,10 +85,12 @@
                 return self._address(request, team)
             case ('GET', '/v1/models'):
                 return self._models()
-            case ('POST', path) if path in _COMPLETIONS:
+            case ('POST', path) if path in _COMPLETION_PATHS:
                 return self._completion_relay.serve(request, team)
-            case (_, path) if path.startswith(_SERVICES):
-                name, _, rest = path.removeprefix(_SERVICES).partition('/')
+            case (_, path) if path.startswith(_SERVICE_PREFIX):
+                name, _, rest = path.removeprefix(_SERVICE_PREFIX).partition(
+                    '/'
+                )
                 return self._service_relay.serve(
                     request, name, f'/{rest}', team
                 )
@@ -132,7 +134,7 @@
         return listeners.json_response({'object': 'list', 'data': models})
 
     def _serve_operator(self, request):
-        if request.path in _HEALTH:
+        if request.path in _HEALTH_PATHS:
             return self._health(request)
         listeners.check_token(request, self._cfg.security.operator_token)
         if (request.method, request.path) != ('POST', '/v1/ask'):
