--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -1,4 +1,4 @@
-"""Relays calls of plain services, each by its rule on repeating."""
+"""Relays calls of plain services by the retry rules of each service."""
 
 import concurrent.futures
 import re
@@ -17,14 +17,18 @@
 HEDGE_DELAY_S = 0.15
 HEDGE_THREADS = 32
 SERVER_ERROR = 500
-UNRESOLVED_RETRY_S = 2.0
-_KEY = re.compile(r'[A-Za-z0-9._:~-]{1,200}')
+UNRESOLVED_RETRY_AFTER_S = 2.0
+_KEY_PATTERN = re.compile(r'[A-Za-z0-9._:~-]{1,200}')
 _SAFE_METHODS = ('GET', 'HEAD')
 _METHODS = ('GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE')
 
 
 class ServiceRelay:
-    """Serves plain services in the calling worker thread."""
+    """Relays calls of plain services in the calling worker thread.
+
+    Args:
+        core: The daemon's Core.
+    """
 
     def __init__(self, core):
         self._core = core
@@ -33,11 +37,11 @@
         )
 
     def close(self):
-        """Stops the threads for hedged calls."""
+        """Stops the threads of hedged calls."""
         self._hedges.shutdown(wait=False, cancel_futures=True)
 
     def serve(self, request, name, path, team):
-        """Serves one call.
+        """Relays one call.
 
         Args:
             request: The client's Request.
@@ -47,6 +51,9 @@
 
         Returns:
             A Response with the service's answer.
+
+        Raises:
+            DandelionwinchError: If the call is refused or failed.
         """
         core = self._core
         if request.method not in _METHODS:
@@ -59,7 +66,7 @@
             core.ask(messages.Finish(request.id, state, code, tokens))
 
         try:
-            answer, headers = self._call(request, name, path)
+            answer, headers = self._relay(request, name, path)
         except errors.DandelionwinchError as exc:
             finish(delivery.state_of(exc), exc.code, 0)
             raise
@@ -68,12 +75,12 @@
             raise
         return _response(answer, headers, finish)
 
-    def _call(self, request, name, path):
-        data_centres = self._core.ask(messages.PlaceService(request.id, name))
-        service = data_centres.service
-        once = service.repeat is settings.Repeat.ONCE
+    def _relay(self, request, name, path):
+        placement = self._core.ask(messages.PlaceService(request.id, name))
+        service = placement.service
+        at_most_once = service.repeat is settings.Repeat.ONCE
         key = request.header('idempotency-key')
-        if key and not _KEY.fullmatch(key):
+        if key and not _KEY_PATTERN.fullmatch(key):
             raise errors.BadRequest(
                 'header "Idempotency-Key" is not 1 to 200 letters, digits '
                 'or ._:~-'
@@ -86,31 +93,31 @@
             key,
             request.id,
         )
-        if not once or request.method in _SAFE_METHODS:
-            return self._idempotent(call, data_centres), {}
+        if not at_most_once or request.method in _SAFE_METHODS:
+            return self._call_with_retries(call, placement), {}
         if not key:
             raise errors.KeyMissing(
                 f'service "{name}" needs the header "Idempotency-Key"'
             )
-        return _Once(self._core, call, data_centres).run()
+        return _AtMostOnceCall(self._core, call, placement).run()
 
-    def _idempotent(self, call, data_centres):
+    def _call_with_retries(self, call, placement):
         """Retries within the budget and never after the deadline."""
-        service = data_centres.service
+        service = placement.service
         deadline = time.monotonic() + service.deadline_s
         reason = 'no upstream was tried'
-        for turn, upstream in enumerate(data_centres.upstreams * 2):
+        for attempt, upstream in enumerate(placement.upstreams * 2):
             left_s = deadline - time.monotonic()
             if left_s <= 0:
                 break
-            if turn and not self._core.ask(
+            if attempt and not self._core.ask(
                 messages.Retry(call.request_id, service.name)
             ):
                 break
-            answer = self._try(call, data_centres, turn, upstream, left_s)
-            if _is_good(answer):
+            answer = self._attempt(call, placement, attempt, upstream, left_s)
+            if _is_relayable(answer):
                 return answer
-            reason = _reason(answer)
+            reason = _failure_reason(answer)
             self._core.ask(
                 messages.UpstreamFailed(call.request_id, upstream.name, reason)
             )
@@ -121,23 +128,24 @@
         exc.execution = errors.ExecutionStatus.UNKNOWN
         raise exc
 
-    def _try(self, call, data_centres, turn, upstream, left_s):
+    def _attempt(self, call, placement, attempt, upstream, left_s):
         services = self._core.services
-        others = [r for r in data_centres.upstreams if r is not upstream]
-        if not data_centres.service.hedge or turn or not others:
+        others = [u for u in placement.upstreams if u is not upstream]
+        if not placement.service.hedge or attempt or not others:
             return services.call(upstream.address, call, left_s)
-        return self._hedged(call, upstream, others[0], left_s)
+        return self._hedge(call, upstream, others[0], left_s)
 
-    def _hedged(self, call, upstream, other, left_s):
+    def _hedge(self, call, upstream, other, left_s):
+        """Calls a second upstream if the first one takes too long."""
         services = self._core.services
         first = self._hedges.submit(
             services.call, upstream.address, call, left_s
         )
-        done, _rest = concurrent.futures.wait([first], HEDGE_DELAY_S)
+        done, _pending = concurrent.futures.wait([first], HEDGE_DELAY_S)
         if done:
             return first.result()
         if not self._core.ask(
-            messages.Retry(call.request_id, self._target(call))
+            messages.Retry(call.request_id, self._hedge_target(call))
         ):
             return first.result()
         second = self._hedges.submit(
@@ -155,50 +163,51 @@
                 break
             for fut in done:
                 answer = fut.result()
-                if _is_good(answer):
+                if _is_relayable(answer):
                     return answer
         return answer or service_adapter.NoAnswer()
 
     @staticmethod
-    def _target(call):
+    def _hedge_target(call):
         return f'hedge {call.path}'
 
 
-class _Once:
-    """Runs the program of one call that may run at most once."""
+class _AtMostOnceCall:
+    """One call of a service that is not idempotent."""
 
-    def __init__(self, core, call, data_centres):
+    def __init__(self, core, call, placement):
         self._core = core
         self._call = call
-        self._service = data_centres.service
-        self._upstreams = list(data_centres.upstreams)
+        self._service = placement.service
+        self._upstreams = list(placement.upstreams)
         self._upstream = None
-        key = f'{data_centres.service.name}/{call.key}'
+        key = f'{placement.service.name}/{call.key}'
         token = f'{core.name}#{core.incarnation}#{call.request_id}'
-        parts = f'{call.method} {call.path}\n'.encode() + call.body
-        self._opening = claims.Open(key, token, utils.digest_of(parts))
+        content = f'{call.method} {call.path}\n'.encode() + call.body
+        self._opening = claims.Open(key, token, utils.digest_of(content))
 
     def run(self):
-        """Runs the call.
+        """Runs the call, or returns the recorded answer of its key.
 
         Returns:
-            The answer and response headers.
+            The answer and a dict of response headers.
 
         Raises:
-            DandelionwinchError: With what is known of the call.
+            DandelionwinchError: If there is no answer; its ``execution``
+                tells whether the call may have run.
         """
         program = claims.run_at_most_once(
             self._opening,
             self._service.dedupes_by_key,
             self._core.cfg.claims.send_window_s,
-            self._record,
+            self._close_with,
         )
         result = effects.drive(program, self._execute, _clock)
         match result:
             case claims.Done(answer=answer):
                 return answer, {}
-            case claims.NotGranted(result=held):
-                return self._known(held)
+            case claims.NotGranted(result=open_result):
+                return self._answer_not_granted(open_result)
             case claims.NotRun(reason=reason):
                 raise errors.NoUpstream(
                     f'service "{self._service.name}": {reason}',
@@ -207,7 +216,7 @@
         raise errors.OutcomeUnknown(
             'the call was sent and its outcome is not known; ask again '
             'with the same key',
-            retry_after_s=UNRESOLVED_RETRY_S,
+            retry_after_s=UNRESOLVED_RETRY_AFTER_S,
         )
 
     def _execute(self, request):
@@ -217,10 +226,10 @@
             case claims.SendCall():
                 return self._send()
             case claims.QueryOutcome():
-                return self._ask_outcome()
+                return self._query_outcome()
             case claims.CloseClaim(mutation=mutation):
                 return self._core.ask(messages.CloseClaim(mutation))
-        raise TypeError(f'"{request!r}" is not a request of a call')
+        raise TypeError(f'"{request!r}" is not a request of run_at_most_once')
 
     def _send(self):
         upstream = self._upstreams.pop(0)
@@ -228,31 +237,31 @@
         answer = self._core.services.call(
             upstream.address, self._call, self._service.deadline_s
         )
-        if _is_good(answer):
+        if _is_relayable(answer):
             return claims.SendResult(True, answer)
         self._core.ask(
             messages.UpstreamFailed(
-                self._call.request_id, upstream.name, _reason(answer)
+                self._call.request_id, upstream.name, _failure_reason(answer)
             )
         )
-        reached = not isinstance(answer, service_adapter.NotSent)
-        return claims.SendResult(reached, None, bool(self._upstreams))
+        may_have_arrived = not isinstance(answer, service_adapter.NotSent)
+        return claims.SendResult(may_have_arrived, None, bool(self._upstreams))
 
-    def _ask_outcome(self):
+    def _query_outcome(self):
         if not self._service.asks_by_key:
             return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
-        found = self._core.services.outcome(
+        reply = self._core.services.outcome(
             self._upstream.address, self._call.key
         )
-        if not isinstance(found, service_adapter.Ran):
+        if not isinstance(reply, service_adapter.Ran):
             return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
-        answer = service_adapter.Answered(200, found.body, 'application/json')
+        answer = service_adapter.Answered(200, reply.body, 'application/json')
         return claims.Outcome(claims.OutcomeStatus.RAN, answer)
 
-    def _known(self, result):
+    def _answer_not_granted(self, result):
         match result:
             case claims.Held(claim=claim):
-                return self._held(claim)
+                return self._replay(claim)
             case claims.Expired():
                 raise errors.KeyExpired(
                     f'key "{self._call.key}" is older than the retention '
@@ -267,7 +276,8 @@
             retry_after_s=2.0,
         )
 
-    def _held(self, claim):
+    def _replay(self, claim):
+        """Returns the recorded answer, or its digest if it is not stored."""
         if claim.request not in ('', self._opening.request):
             raise errors.KeyReused(
                 f'key "{self._call.key}" was used for another request'
@@ -276,7 +286,7 @@
             raise errors.KeyUnresolved(
                 f'an earlier call with key "{self._call.key}" has no known '
                 'outcome yet; it is being looked into',
-                retry_after_s=UNRESOLVED_RETRY_S,
+                retry_after_s=UNRESOLVED_RETRY_AFTER_S,
             )
         headers = {'Idempotent-Replay': 'true'}
         if claim.kept:
@@ -289,7 +299,7 @@
         answer = service_adapter.Answered(200, body, 'application/json')
         return answer, headers
 
-    def _record(self, answer):
+    def _close_with(self, answer):
         return claims.close_with_answer(
             self._opening.key,
             self._opening.token,
@@ -304,14 +314,15 @@
     return effects.Time(time.monotonic(), time.time())
 
 
-def _is_good(answer):
+def _is_relayable(answer):
+    """Returns whether an answer is passed on: any status below 500."""
     return (
         isinstance(answer, service_adapter.Answered)
         and answer.status < SERVER_ERROR
     )
 
 
-def _reason(answer):
+def _failure_reason(answer):
     if isinstance(answer, service_adapter.Answered):
         return f'status {answer.status}'
     return type(answer).__name__
