--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -1,4 +1,4 @@
-"""Relays completions: attempts, resumption and delivery."""
+"""Relays completions, with resumption and failover between upstreams."""
 
 import json
 import time
@@ -17,26 +17,35 @@
 REQUEST_TIMEOUT = 408
 TOO_MANY_REQUESTS = 429
 SERVER_ERROR = 500
-FIRST_MARGIN_S = 2.0
+# Added to the expected time to first token before an upstream has failed.
+FIRST_TOKEN_MARGIN_S = 2.0
 EVENT_STREAM = 'text/event-stream'
 _DONE_EVENT = b'data: [DONE]\n\n'
 
 
 class CompletionRelay:
-    """Serves completions in the calling worker thread."""
+    """Relays completions in the calling worker thread.
+
+    Args:
+        core: The daemon's Core.
+    """
 
     def __init__(self, core):
         self._core = core
 
     def serve(self, request, team):
-        """Serves one completion.
+        """Relays one completion.
+
+        Args:
+            request: The client's Request.
+            team: Name of the client's team.
 
         Returns:
             A Response whose chunks are the answer.
 
         Raises:
-            DandelionwinchError: If the job is refused before the first
-                piece of its answer.
+            DandelionwinchError: If the job is refused or fails before
+                the response starts.
         """
         core = self._core
         job = jobs.parse_completion(request.path, request.body)
@@ -45,11 +54,11 @@
         def finish(state, code, tokens):
             core.ask(messages.Finish(request.id, state, code, tokens))
 
-        answer = _Answer(core, request.id, job)
+        answer = _AnswerRelay(core, request.id, job)
         try:
             if job.stream:
-                return self._streamed(request, answer, finish)
-            return self._whole(request, answer, finish)
+                return self._stream_response(request, answer, finish)
+            return self._whole_response(request, answer, finish)
         except errors.DandelionwinchError as exc:
             finish(delivery.state_of(exc), exc.code, 0)
             raise
@@ -58,10 +67,12 @@
             raise
 
     @staticmethod
-    def _streamed(request, answer, finish):
+    def _stream_response(request, answer, finish):
         pieces = answer.pieces()
+        # Waits for the first piece, so that an earlier failure is
+        # answered with its own HTTP status.
         first = next(pieces, None)
-        chunks = _events(request.id, answer, first, pieces)
+        chunks = _sse_events(request.id, answer, first, pieces)
         return listeners.Response(
             content_type=EVENT_STREAM,
             headers={'Cache-Control': 'no-store'},
@@ -69,7 +80,7 @@
         )
 
     @staticmethod
-    def _whole(request, answer, finish):
+    def _whole_response(request, answer, finish):
         body = answer.whole(request.id)
 
         def chunks():
@@ -83,15 +94,24 @@
 
 @attrs.define
 class _Target:
-    """The upstream of the present attempt."""
+    """The upstream of the present generation.
+
+    Attributes:
+        placement: Where the generation runs.
+        generation: Number of the generation within the job.
+    """
 
-    placed: messages.Placed
+    placement: messages.Placed
     generation: int
     transfer: dict | None = None
 
 
-class _Answer:
-    """One job's answer over all its attempts."""
+class _AnswerRelay:
+    """Relays the answer of one job over all its attempts.
+
+    An attempt resumes the generation of the one before it or starts a
+    new generation on another upstream.
+    """
 
     def __init__(self, core, job_id, job):
         self._core = core
@@ -101,20 +121,20 @@
         self._assembly = jobs.AnswerAssembly()
         self._deadline = time.monotonic() + self._cfg.deadline_s
         self._started = time.monotonic()
-        self._exclude = set()
+        self._failed_upstreams = set()
         self._target = None
         self._generation = 0
         self._sent = False
         self._resumes = 0
-        self._bytes = 0
-        self._usage = 0
+        self._answer_chars = 0
+        self._reported_tokens = 0
 
     def tokens(self):
         """Returns the number of tokens of the answer so far."""
-        return self._usage or self._assembly.tokens
+        return self._reported_tokens or self._assembly.tokens
 
     def pieces(self):
-        """Yields new pieces in order until the whole answer is there.
+        """Yields new pieces in order until the answer is complete.
 
         Raises:
             DandelionwinchError: If the answer cannot be completed.
@@ -128,43 +148,44 @@
 
     def _attempt(self):
         self._check_deadline()
-        attempt = self._begin()
+        attempt = self._start_attempt()
         try:
-            call = self._call()
+            call = self._build_call()
             self._sent = True
             stream = self._core.upstreams.stream(
-                self._target.placed.address, call
+                self._target.placement.address, call
             )
             for item in stream:
                 yield from self._accept(attempt, item)
         except upstream_adapter.UpstreamRefused as exc:
-            self._refused(exc)
+            self._handle_refusal(exc)
         except upstream_adapter.UpstreamUnreachable as exc:
-            self._move_on(str(exc))
+            self._fail_over(str(exc))
         except (upstream_adapter.UpstreamBroke, jobs.StreamGap) as exc:
-            self._broken(str(exc))
+            self._handle_broken_stream(str(exc))
 
-    def _begin(self):
+    def _start_attempt(self):
+        """Resumes the present generation, or places a new one."""
         if self._target is not None:
             return self._assembly.resume()
         self._generation += 1
-        placed = self._core.ask(
+        placement = self._core.ask(
             messages.DataCentre(
-                self._job_id, self.job, frozenset(self._exclude)
+                self._job_id, self.job, frozenset(self._failed_upstreams)
             )
         )
-        self._target = _Target(placed, self._generation)
+        self._target = _Target(placement, self._generation)
         self._resumes = 0
         return self._assembly.start_continuation()
 
-    def _call(self):
+    def _build_call(self):
         body = jobs.continuation_body(
-            self.job, self._assembly_text(), self._assembly.tokens
+            self.job, self._partial_text(), self._assembly.tokens
         )
-        placed = self._target.placed
+        placement = self._target.placement
         silence_s = max(
             self._cfg.least_silence_s,
-            self._cfg.silence_factor * placed.token_gap_s,
+            self._cfg.silence_factor * placement.token_gap_s,
         )
         call = upstream_adapter.Call(
             job_id=f'{self._job_id}-{self._target.generation}',
@@ -172,27 +193,31 @@
             body=body,
             resume_after=self._assembly.resume_after(),
             silence_s=silence_s,
-            first_s=min(placed.first_token_s + FIRST_MARGIN_S, self._left_s()),
+            first_s=min(
+                placement.first_token_s + FIRST_TOKEN_MARGIN_S, self._left_s()
+            ),
         )
-        if placed.prefill_address and call.resume_after < 0:
-            body['kv_transfer_params'] = self._prefill(placed, call)
+        if placement.prefill_address and call.resume_after < 0:
+            body['kv_transfer_params'] = self._prefill(placement, call)
         return call
 
-    def _assembly_text(self):
-        # A resumed generation has the prompt already; only a new one
-        # needs the text so far.
+    def _partial_text(self):
+        # The upstream of a resumed generation has the prompt already;
+        # only a new generation needs the text so far.
         if self._assembly.resume_after() >= 0:
             return ''
         return self._assembly.text
 
-    def _prefill(self, placed, call):
+    def _prefill(self, placement, call):
         try:
-            return self._core.upstreams.prefill(placed.prefill_address, call)
+            return self._core.upstreams.prefill(
+                placement.prefill_address, call
+            )
         except upstream_adapter.UpstreamRefused as exc:
-            self._blame(placed.prefill_upstream, str(exc))
+            self._report_failure(placement.prefill_upstream, str(exc))
             raise upstream_adapter.UpstreamUnreachable(str(exc)) from exc
         except upstream_adapter.UpstreamBroke as exc:
-            self._blame(placed.prefill_upstream, str(exc))
+            self._report_failure(placement.prefill_upstream, str(exc))
             raise upstream_adapter.UpstreamUnreachable(str(exc)) from exc
 
     def _accept(self, attempt, item):
@@ -202,9 +227,9 @@
             case upstream_adapter.Piece(offset=offset, text=text):
                 if not self._assembly.accept(attempt, offset, text):
                     return
-                self._bytes += len(text)
-                if self._bytes > self._cfg.max_answer_bytes:
-                    raise self._failed('the answer is over the size limit')
+                self._answer_chars += len(text)
+                if self._answer_chars > self._cfg.max_answer_bytes:
+                    raise self._failure('the answer is over the size limit')
                 if self._assembly.next_offset == 1:
                     first_s = time.monotonic() - self._started
                     self._core.metrics.first_token.observe(first_s)
@@ -220,155 +245,159 @@
         exc = errors.DeadlinePassed(
             f'the answer was not complete after {self._cfg.deadline_s:g} s'
         )
-        raise self._with_truth(exc)
+        raise self._with_execution(exc)
 
-    def _with_truth(self, exc):
+    def _with_execution(self, exc):
         if self._sent:
             exc.execution = errors.ExecutionStatus.UNKNOWN
         return exc
 
-    def _failed(self, reason):
-        return self._with_truth(errors.UpstreamFailed(reason))
+    def _failure(self, reason):
+        return self._with_execution(errors.UpstreamFailed(reason))
 
-    def _refused(self, exc):
+    def _handle_refusal(self, exc):
+        """Retries unless the upstream rejected the request itself."""
         status = exc.status
         if status == GONE:
-            self._move_on('the upstream no longer has the answer')
+            self._fail_over('the upstream no longer has the answer')
             return
-        retried = (REQUEST_TIMEOUT, TOO_MANY_REQUESTS)
-        if BAD_REQUEST <= status < SERVER_ERROR and status not in retried:
+        retryable = (REQUEST_TIMEOUT, TOO_MANY_REQUESTS)
+        if BAD_REQUEST <= status < SERVER_ERROR and status not in retryable:
             refusal = errors.BadRequest(
                 f'the upstream refused the request: {exc.body[:500]}'
             )
             raise refusal
-        self._move_on(str(exc))
+        self._fail_over(str(exc))
 
-    def _broken(self, reason):
-        """Resumes on another connection first, then elsewhere."""
+    def _handle_broken_stream(self, reason):
+        """Resumes once on a new connection, then fails over."""
         may_resume = self._assembly.resume_after() >= 0
         if may_resume and self._resumes == 0:
             self._resumes += 1
             self._spend_retry(reason)
             return
-        self._move_on(reason)
+        self._fail_over(reason)
 
-    def _move_on(self, reason):
-        self._blame(self._target.placed.upstream, reason)
+    def _fail_over(self, reason):
+        """Excludes the upstream, so that the next attempt uses another."""
+        self._report_failure(self._target.placement.upstream, reason)
         self._cancel()
         self._target = None
         if self._assembly.next_offset and not self.job.continuable:
-            raise self._failed(
+            raise self._failure(
                 f'the answer broke off and cannot be continued: {reason}'
             )
         self._spend_retry(reason)
 
-    def _blame(self, upstream, reason):
-        self._exclude.add(upstream)
+    def _report_failure(self, upstream, reason):
+        self._failed_upstreams.add(upstream)
         self._core.ask(messages.UpstreamFailed(self._job_id, upstream, reason))
 
     def _spend_retry(self, reason):
         if not self._core.ask(messages.Retry(self._job_id, self.job.model)):
-            raise self._failed(f'no retries are left after: {reason}')
+            raise self._failure(f'no retries are left after: {reason}')
 
     def _cancel(self):
         target = self._target
         if target is None or not self._sent:
             return
         self._core.upstreams.cancel(
-            target.placed.address, f'{self._job_id}-{target.generation}'
+            target.placement.address, f'{self._job_id}-{target.generation}'
         )
 
     def whole(self, request_id):
-        """Returns the whole answer as one JSON body."""
+        """Returns the whole answer as a JSON body in bytes."""
         if not self.job.continuable:
-            return self._whole_as_is()
-        reason = 'stop'
+            return self._fetch_whole()
+        finish_reason = 'stop'
         for piece in self.pieces():
-            reason = _reason_of(piece) or reason
+            finish_reason = _finish_reason(piece) or finish_reason
         return json.dumps(
-            _whole_body(request_id, self.job, self._assembly, reason)
+            _whole_body(request_id, self.job, self._assembly, finish_reason)
         ).encode()
 
-    def _whole_as_is(self):
-        """Fetches an answer that cannot be put together from pieces."""
+    def _fetch_whole(self):
+        """Fetches an answer that cannot be assembled from pieces."""
         while True:
             self._check_deadline()
-            self._begin()
+            self._start_attempt()
             try:
-                call = self._call()
+                call = self._build_call()
                 call = attrs.evolve(call, first_s=self._left_s())
                 self._sent = True
                 body = self._core.upstreams.whole(
-                    self._target.placed.address, call
+                    self._target.placement.address, call
                 )
                 usage = body.get('usage') or {}
-                self._usage = int(usage.get('completion_tokens') or 0)
+                self._reported_tokens = int(
+                    usage.get('completion_tokens') or 0
+                )
                 self._assembly.ended = True
                 return json.dumps(body).encode()
             except upstream_adapter.UpstreamRefused as exc:
-                self._refused(exc)
+                self._handle_refusal(exc)
             except (
                 upstream_adapter.UpstreamUnreachable,
                 upstream_adapter.UpstreamBroke,
             ) as exc:
-                self._move_on(str(exc))
+                self._fail_over(str(exc))
 
 
-def _reason_of(piece):
+def _finish_reason(piece):
     for choice in piece.choices:
         if choice.get('finish_reason'):
             return choice['finish_reason']
     return ''
 
 
-def _events(request_id, answer, first, pieces):
-    """Yields server-sent events, the last of which ends the answer."""
+def _sse_events(request_id, answer, first, pieces):
+    """Yields server-sent events; the last one is [DONE] or an error."""
     head = {
         'id': request_id,
-        'object': _object_of(answer.job, True),
+        'object': _object_type(answer.job, True),
         'created': int(time.time()),
         'model': answer.job.model,
     }
     try:
         if first is not None:
-            yield _event({**head, 'choices': first.choices})
+            yield _sse_event({**head, 'choices': first.choices})
         for piece in pieces:
-            yield _event({**head, 'choices': piece.choices})
+            yield _sse_event({**head, 'choices': piece.choices})
         yield _DONE_EVENT
     except errors.DandelionwinchError as exc:
-        yield _event(listeners.error_body(exc, request_id))
+        yield _sse_event(listeners.error_body(exc, request_id))
         raise
     finally:
         pieces.close()
 
 
-def _event(value):
+def _sse_event(value):
     return b'data: ' + json.dumps(value).encode() + b'\n\n'
 
 
-def _object_of(job, chunk):
+def _object_type(job, is_chunk):
     if not job.chat:
         return 'text_completion'
-    return 'chat.completion.chunk' if chunk else 'chat.completion'
+    return 'chat.completion.chunk' if is_chunk else 'chat.completion'
 
 
-def _whole_body(request_id, job, assembly, reason):
+def _whole_body(request_id, job, assembly, finish_reason):
     text = assembly.text
-    choice = {'index': 0, 'finish_reason': reason}
+    choice = {'index': 0, 'finish_reason': finish_reason}
     if job.chat:
         choice['message'] = {'role': 'assistant', 'content': text}
     else:
         choice['text'] = text
-    made = assembly.tokens
+    generated_tokens = assembly.tokens
     return {
         'id': request_id,
-        'object': _object_of(job, False),
+        'object': _object_type(job, False),
         'created': int(time.time()),
         'model': job.model,
         'choices': [choice],
         'usage': {
             'prompt_tokens': job.prompt_tokens,
-            'completion_tokens': made,
-            'total_tokens': job.prompt_tokens + made,
+            'completion_tokens': generated_tokens,
+            'total_tokens': job.prompt_tokens + generated_tokens,
         },
     }
--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -32,13 +32,13 @@
 
     def __init__(self, core):
         self._core = core
-        self._hedges = concurrent.futures.ThreadPoolExecutor(
+        self._hedge_pool = concurrent.futures.ThreadPoolExecutor(
             HEDGE_THREADS, thread_name_prefix='hedge'
         )
 
     def close(self):
         """Stops the threads of hedged calls."""
-        self._hedges.shutdown(wait=False, cancel_futures=True)
+        self._hedge_pool.shutdown(wait=False, cancel_futures=True)
 
     def serve(self, request, name, path, team):
         """Relays one call.
@@ -138,7 +138,7 @@
     def _hedge(self, call, upstream, other, left_s):
         """Calls a second upstream if the first one takes too long."""
         services = self._core.services
-        first = self._hedges.submit(
+        first = self._hedge_pool.submit(
             services.call, upstream.address, call, left_s
         )
         done, _pending = concurrent.futures.wait([first], HEDGE_DELAY_S)
@@ -148,7 +148,7 @@
             messages.Retry(call.request_id, self._hedge_target(call))
         ):
             return first.result()
-        second = self._hedges.submit(
+        second = self._hedge_pool.submit(
             services.call, other.address, call, left_s
         )
         pending = {first, second}
