--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -17,7 +17,7 @@
 REQUEST_TIMEOUT = 408
 TOO_MANY_REQUESTS = 429
 SERVER_ERROR = 500
-# Added to the expected time to first token before an upstream has failed.
+# Slack on top of the expected time to first token.
 FIRST_TOKEN_MARGIN_S = 2.0
 EVENT_STREAM = 'text/event-stream'
 _DONE_EVENT = b'data: [DONE]\n\n'
