--- a/dandelionwinch/effects.py
+++ b/dandelionwinch/effects.py
@@ -1,8 +1,9 @@
-"""Messages between decision programs and the platform's store.
+"""Requests and replies of sans-I/O programs that use the store.
 
-A decision program is a generator. It yields one of the requests below,
-gets back one of the replies and finally returns its result, so that it
-needs no socket, clock or thread of its own.
+A program is a generator: it yields one of the requests below, receives
+the reply and finally returns its result. It needs no socket, clock or
+thread of its own, so the same program runs in the daemon, in tests and
+in simulations.
 """
 
 import attrs
@@ -10,17 +11,24 @@
 
 @attrs.frozen
 class Read:
-    """Asks for the record of one key."""
+    """Request: reads the record of one key.
+
+    The reply is Found or Unavailable.
+    """
 
     key: str
 
 
 @attrs.frozen
 class Scan:
-    """Asks for all records whose key starts with a prefix.
+    """Request: reads all records whose key starts with a prefix.
+
+    The reply is Scanned or Unavailable.
 
     Attributes:
-        after: Only records changed after this store revision.
+        prefix: Start of the keys.
+        after: Only records changed after this store revision are read;
+            0 reads all.
     """
 
     prefix: str
@@ -29,7 +37,7 @@
 
 @attrs.frozen
 class Guard:
-    """A condition: the key's record still has this store revision.
+    """A condition: the key's record has this store revision.
 
     Revision 0 means that the key does not exist.
     """
@@ -40,7 +48,7 @@
 
 @attrs.frozen
 class Put:
-    """A new value of a key, or its removal where the value is None."""
+    """A write of a key's value; a value of None removes the key."""
 
     key: str
     value: bytes | None
@@ -48,7 +56,10 @@
 
 @attrs.frozen
 class Commit:
-    """Asks to apply all writes at once if every guard holds."""
+    """Request: applies all writes in one transaction if all guards hold.
+
+    The reply is Committed, GuardFailed, Unavailable or Uncertain.
+    """
 
     guards: tuple[Guard, ...]
     puts: tuple[Put, ...]
@@ -56,12 +67,17 @@
 
 @attrs.frozen
 class Clock:
-    """Asks for the time."""
+    """Request: reads the clocks; the reply is a Time."""
 
 
 @attrs.frozen
 class Time:
-    """Reply: seconds of the monotonic and of the wall clock."""
+    """Reply: the time in seconds.
+
+    Attributes:
+        now: Monotonic clock.
+        wall: Wall clock.
+    """
 
     now: float
     wall: float
@@ -69,7 +85,10 @@
 
 @attrs.frozen
 class Record:
-    """One key's value; an absent key has value None and revision 0."""
+    """The value of one key and the store revision that last wrote it.
+
+    An absent key has the value None and revision 0.
+    """
 
     key: str
     value: bytes | None
@@ -88,7 +107,7 @@
     """Reply: records of one consistent snapshot.
 
     Attributes:
-        records: Live records in order of their keys.
+        records: Records of existing keys, in order of the keys.
         revision: Store revision of the snapshot.
     """
 
@@ -105,29 +124,29 @@
 
 @attrs.frozen
 class GuardFailed:
-    """Reply: a guard did not hold, so nothing was written."""
+    """Reply: a guard did not hold and nothing was written."""
 
 
 @attrs.frozen
 class Unavailable:
-    """Reply: the store was not reached, so nothing was written."""
+    """Reply: the store was not reached and nothing was written."""
 
 
 @attrs.frozen
 class Uncertain:
-    """Reply: no answer came; the writes may or may not take effect."""
+    """Reply: no answer arrived; the writes may or may not take effect."""
 
 
 def drive(program, execute, clock):
-    """Runs a decision program to its end in the calling thread.
+    """Runs a program to its end in the calling thread.
 
     Args:
-        program: A generator of the requests above.
+        program: A generator that yields the requests above.
         execute: Function from a store request to its reply.
         clock: Function that returns a Time.
 
     Returns:
-        What the program returned.
+        The return value of the program.
     """
     reply = None
     while True:
