--- a/dandelionwinch/errors.py
+++ b/dandelionwinch/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions with codes, and findings that name their place."""
+"""Exceptions with stable codes, and faults of settings files."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ExecutionStatus(enum.StrEnum):
-    """What is known about the execution of a refused request."""
+    """What is known about the execution of a failed request."""
 
     DONE = 'done'
     NOT_RUN = 'not run'
@@ -14,7 +14,15 @@
 
 
 class DandelionwinchError(Exception):
-    """Base of all errors; carries a stable code for programs."""
+    """Base class of all errors that are reported to a caller.
+
+    Attributes:
+        code: Stable, machine-readable code.
+        status: HTTP status of the answer.
+        execution: Whether the request ran, as an ExecutionStatus.
+        message: Text for people.
+        retry_after_s: Seconds after which a retry may succeed, or None.
+    """
 
     code = 'internal'
     status = 500
@@ -27,7 +35,7 @@
 
 
 class BadRequest(DandelionwinchError):
-    """The request cannot be understood."""
+    """The request is malformed."""
 
     code = 'bad_request'
     status = 400
@@ -62,35 +70,35 @@
 
 
 class Unready(DandelionwinchError):
-    """This instance takes no new work at present."""
+    """This instance accepts no new work at present."""
 
     code = 'unready'
     status = 503
 
 
 class NoUpstream(DandelionwinchError):
-    """No upstream can take the job at present."""
+    """No upstream accepts the job at present."""
 
     code = 'no_upstream'
     status = 503
 
 
 class StoreUnavailable(DandelionwinchError):
-    """The platform's store did not answer, so nothing was started."""
+    """The platform's store did not answer and nothing was started."""
 
     code = 'store_unavailable'
     status = 503
 
 
 class KeyReused(DandelionwinchError):
-    """An idempotency key came again with a different request."""
+    """An idempotency key was reused with a different request."""
 
     code = 'key_reused'
     status = 422
 
 
 class KeyMissing(BadRequest):
-    """A call that is not idempotent came without a key."""
+    """A call that is not idempotent has no idempotency key."""
 
     code = 'key_missing'
 
@@ -118,7 +126,7 @@
 
 
 class OutcomeUnknown(DandelionwinchError):
-    """A call that is not idempotent was sent and got no answer."""
+    """A call that is not idempotent was sent but not answered."""
 
     code = 'outcome_unknown'
     status = 502
@@ -133,14 +141,19 @@
 
 
 class Conflict(DandelionwinchError):
-    """A command named a revision that is no longer current."""
+    """A command expects a revision that is no longer current."""
 
     code = 'conflict'
     status = 409
 
 
 class StatementInvalid(DandelionwinchError):
-    """A statement of the operators' language cannot be parsed."""
+    """A statement of the operators' language cannot be parsed.
+
+    Attributes:
+        column: Column of the fault from 1, or None.
+        expected: What could stand there instead.
+    """
 
     code = 'statement_invalid'
     status = 400
@@ -153,11 +166,11 @@
 
 @attrs.frozen
 class Finding:
-    """One fault of a settings file, with its place.
+    """One fault of a settings file or document, with its location.
 
     Attributes:
         file: Name of the file, or of the document's source.
-        line: Line number from 1, or 0 if the place has no line.
+        line: Line number from 1, or 0 if there is no line.
         path: Path of the value, such as ``upstreams[2].role``.
         message: What is wrong, naming the value.
     """
@@ -172,7 +185,11 @@
 
 
 class SettingsInvalid(DandelionwinchError):
-    """Settings hold one or more faults, all reported together."""
+    """Settings have one or more faults, which are reported together.
+
+    Attributes:
+        findings: Tuple of each Finding.
+    """
 
     code = 'settings_invalid'
     status = 400
