--- a/dandelionwinch/log.py
+++ b/dandelionwinch/log.py
@@ -1,4 +1,4 @@
-"""Structured logs for the daemons."""
+"""Structured logs of the daemons."""
 
 import sys
 
@@ -11,12 +11,13 @@
 
 
 def init(instance, level='INFO', as_json=False):
-    """Sends log records to standard error.
+    """Configures loguru to write log records to standard error.
 
     Args:
-        instance: Name put on each record.
-        level: Least level that is written.
-        as_json: Whether a record is one JSON object per line.
+        instance: Name of the instance, which each record carries.
+        level: Lowest level that is written.
+        as_json: Whether each record is written as a JSON object on a
+            line of its own.
     """
     loguru.logger.remove()
     loguru.logger.configure(extra={'instance': instance})
--- a/dandelionwinch/utils.py
+++ b/dandelionwinch/utils.py
@@ -1,4 +1,4 @@
-"""Small helpers shared by several modules."""
+"""Hashing, token estimates, percentiles and free ports."""
 
 import hashlib
 import math
@@ -7,30 +7,31 @@
 import re
 import socket
 
-LOWEST_PORT = 20000
+MIN_PORT = 20000
+# Start of the ephemeral range of Linux unless it is configured.
 DEFAULT_EPHEMERAL_PORT = 32768
 _DIGEST_BYTES = 8
-_WORDS = re.compile(r'\S+')
+_WORD_PATTERN = re.compile(r'\S+')
 _PORT_RANGE = pathlib.Path('/proc/sys/net/ipv4/ip_local_port_range')
 
 
 def first_ephemeral_port():
-    """Returns the lowest port that the system gives to connections."""
+    """Returns the first port that the system uses for connections."""
     try:
         first = int(_PORT_RANGE.read_text().split()[0])
     except (OSError, ValueError, IndexError):
         first = DEFAULT_EPHEMERAL_PORT
-    return max(LOWEST_PORT + 1000, first)
+    return max(MIN_PORT + 1000, first)
 
 
 def stable_hash(*parts):
-    """Hashes strings to 64 bits, alike in every process.
+    """Returns a 64-bit hash that is the same in every process.
 
     Args:
-        *parts: Values that are turned to text.
+        *parts: Values, which are hashed as strings.
 
     Returns:
-        A whole number of 64 bits.
+        An unsigned integer of 64 bits.
     """
     text = '\x1f'.join(str(part) for part in parts)
     digest = hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES)
@@ -38,44 +39,45 @@
 
 
 def rendezvous_score(weight, *parts):
-    """Gives the weighted rendezvous score of one candidate.
+    """Returns the weighted rendezvous hashing score of one candidate.
 
-    Highest random weight hashing with the logarithmic method, so that
-    a candidate wins a share of keys in line with its weight.
+    Uses the logarithmic method, by which each candidate wins a share of
+    the keys in proportion to its weight.
 
     Args:
         weight: Relative share, above zero.
         *parts: The key and the candidate's name.
 
     Returns:
-        A float; the candidate with the largest score wins.
+        A float; the candidate with the highest score wins.
     """
     unit = (stable_hash(*parts) + 1) / (2**64 + 1)
     return -weight / math.log(unit)
 
 
 def digest_of(data):
-    """Returns the hex digest of bytes."""
+    """Returns the BLAKE2b digest of bytes, 128 bits in hex."""
     return hashlib.blake2b(data, digest_size=16).hexdigest()
 
 
 def estimate_tokens(text):
-    """Estimates the number of tokens of a text.
+    """Returns an estimate of the number of tokens of a text.
 
-    Engines tokenize for themselves; placement only needs the size.
+    It counts words: engines tokenize for themselves, and placement only
+    needs the approximate size.
     """
-    return len(_WORDS.findall(text))
+    return len(_WORD_PATTERN.findall(text))
 
 
 def percentile(values, share):
-    """Returns the value below which a share of the values lies.
+    """Returns a percentile by the nearest-rank method.
 
     Args:
         values: Numbers in any order; may be empty.
-        share: Between 0 and 1.
+        share: The percentile as a ratio between 0 and 1.
 
     Returns:
-        A value of the list by the nearest rank, or 0.0 for none.
+        One of the values, or 0.0 if there are none.
     """
     if not values:
         return 0.0
@@ -85,24 +87,27 @@
 
 
 def free_ports(count):
-    """Returns ports of the loopback address that nobody uses now.
+    """Returns free ports of the loopback address.
 
-    They lie below those that the system gives to outgoing connections,
-    so that none is taken between this check and its use.
+    They lie below the ephemeral ports that the system uses for outgoing
+    connections, so that none is taken between this check and its use.
+
+    Args:
+        count: Number of ports.
     """
     rng = random.SystemRandom()
     sockets = []
     try:
         while len(sockets) < count:
-            port = rng.randrange(LOWEST_PORT, first_ephemeral_port())
-            item = socket.socket()
+            port = rng.randrange(MIN_PORT, first_ephemeral_port())
+            sock = socket.socket()
             try:
-                item.bind(('127.0.0.1', port))
+                sock.bind(('127.0.0.1', port))
             except OSError:
-                item.close()
+                sock.close()
                 continue
-            sockets.append(item)
-        return [item.getsockname()[1] for item in sockets]
+            sockets.append(sock)
+        return [sock.getsockname()[1] for sock in sockets]
     finally:
-        for item in sockets:
-            item.close()
+        for sock in sockets:
+            sock.close()
