--- a/dandelionwinch/utils.py
+++ b/dandelionwinch/utils.py
@@ -16,7 +16,11 @@
 
 
 def first_ephemeral_port():
-    """Returns the first port that the system uses for connections."""
+    """Returns the first port that the system uses for connections.
+
+    The result is at least MIN_PORT + 1000, so that free_ports always has
+    1000 ports to choose from.
+    """
     try:
         first = int(_PORT_RANGE.read_text().split()[0])
     except (OSError, ValueError, IndexError):
