--- a/dandelionwinch/orders/_lease.py
+++ b/dandelionwinch/orders/_lease.py
@@ -1,17 +1,18 @@
-"""The lease over one shard, as one instance sees it."""
+"""The lease of one shard, as one instance sees it."""
 
 import attrs
 
 from dandelionwinch import effects
 from dandelionwinch.orders import _shard
 
+# Compare-and-swap writes of one call before it gives up.
 MAX_ATTEMPTS = 4
 RENEWALS_PER_LEASE = 3
 
 
 @attrs.frozen
 class Owned:
-    """Result: this instance holds the shard until the deadline."""
+    """Result: this instance holds the shard until `expires_at`."""
 
     shard: _shard.Shard
     expires_at: float
@@ -19,38 +20,38 @@
 
 @attrs.frozen
 class Waiting:
-    """Result: another holds the shard, or nobody may take it yet."""
+    """Result: the shard has another holder, or can't be acquired yet."""
 
     reason: str
 
 
 @attrs.frozen
 class Lost:
-    """Result: this instance held the shard and does so no more."""
+    """Result: this instance held the shard and has lost it."""
 
     reason: str
 
 
 class ShardLease:
-    """The lease of one shard: taking, renewing, ordering, releasing.
-
-    The deadline is counted on the own monotonic clock from before the
-    write was sent, less a margin for drift. Another instance takes a
-    lapsed lease only after it saw the record unchanged for a whole
-    lease and margin. Where an upstream does not check fencing numbers, a
-    lapsed lease is not enough: the holder must have released it, or
-    its process must be gone for certain.
+    """Acquires, renews, updates and releases the lease of one shard.
+
+    The lease expires, on the local monotonic clock, one lease time after
+    the write was sent, less a margin for clock drift. Another instance
+    acquires an expired lease only after it saw the record unchanged for a
+    whole lease time and margin. If an upstream does not check fencing
+    tokens, an expired lease is not enough: the holder must have released
+    it, or its process must certainly have ended.
     """
 
     __slots__ = (
+        '_active_sends',
         '_cfg',
         '_deadline',
         '_incarnation',
-        '_name',
+        '_instance',
         '_releasing',
-        '_seen_at',
+        '_revision_seen_at',
         '_seen_revision',
-        '_sends',
         '_store_key',
         'revision',
         'shard',
@@ -59,56 +60,56 @@
 
     def __init__(self, shard_name, name, incarnation, cfg):
         self._store_key = _shard.shard_key(shard_name)
-        self._name = name
+        self._instance = name
         self._incarnation = incarnation
         self._cfg = cfg
         self._deadline = float('-inf')
         self._seen_revision = None
-        self._seen_at = 0.0
+        self._revision_seen_at = 0.0
         self.shard = None
         self.revision = 0
         self.wait_reason = ''
-        self._sends = 0
+        self._active_sends = 0
         self._releasing = False
 
     def holds(self, now):
-        """Tells whether an order may be sent at this moment."""
+        """Returns whether an order may be sent at this time."""
         return self.shard is not None and now < self._deadline
 
     @property
     def expires_at(self):
-        """Time at which the lease ends for this instance."""
+        """Time at which the lease expires for this instance."""
         return self._deadline
 
     def begin_send(self):
-        """Notes that an order is about to be sent.
+        """Registers an order that is about to be sent.
 
         Returns:
-            False if the lease is being released.
+            False if the lease is being released and nothing may be sent.
         """
         if self._releasing:
             return False
-        self._sends += 1
+        self._active_sends += 1
         return True
 
     def end_send(self):
-        """Notes that a send has ended, with or without an answer."""
-        self._sends -= 1
+        """Registers the end of a send, with or without a response."""
+        self._active_sends -= 1
 
     def acquire(self, all_check_fencing, is_gone):
-        """Tries to take the shard, or renews it if it is held.
+        """Renews the lease if it is held, else tries to acquire it.
 
         Args:
-            all_check_fencing: Whether each upstream of the shard refuses
+            all_check_fencing: Whether every upstream of the shard rejects
                 orders of an older epoch.
-            is_gone: Function of name, incarnation and time that tells
-                whether a process has certainly ended.
+            is_gone: Function of instance name, incarnation and time that
+                returns whether that process has certainly ended.
 
         Returns:
             Owned, Waiting or Lost.
         """
-        held_before = self.shard is not None
-        if held_before and not self._releasing:
+        was_held = self.shard is not None
+        if was_held and not self._releasing:
             renewed = yield from self._renew()
             if renewed:
                 return Owned(self.shard, self._deadline)
@@ -116,12 +117,12 @@
             clock = yield effects.Clock()
             reply = yield effects.Read(self._store_key)
             if not isinstance(reply, effects.Found):
-                return self._unreached(clock.now)
+                return self._store_unavailable(clock.now)
             shard = _shard.Shard.load(reply.record.value)
             revision = reply.record.revision
-            self._observe(revision, clock.now)
-            if self._is_mine(shard):
-                result = yield from self._write(
+            self._record_revision(revision, clock.now)
+            if self._is_held_here(shard):
+                write_reply = yield from self._write(
                     attrs.evolve(
                         shard, renewals=shard.renewals + 1, released=False
                     ),
@@ -132,30 +133,30 @@
                     shard, all_check_fencing, is_gone, clock.now
                 )
                 if reason:
-                    self._drop()
+                    self._forget()
                     self.wait_reason = reason
-                    return Lost(reason) if held_before else Waiting(reason)
-                result = yield from self._write(
+                    return Lost(reason) if was_held else Waiting(reason)
+                write_reply = yield from self._write(
                     attrs.evolve(
                         shard,
                         epoch=shard.epoch + 1,
-                        holder=self._name,
+                        holder=self._instance,
                         incarnation=self._incarnation,
                         released=False,
                     ),
                     revision,
                 )
-            if isinstance(result, effects.Committed):
+            if isinstance(write_reply, effects.Committed):
                 self.wait_reason = ''
                 self._releasing = False
                 return Owned(self.shard, self._deadline)
-            if isinstance(result, effects.Unavailable):
+            if isinstance(write_reply, effects.Unavailable):
                 break
         clock = yield effects.Clock()
-        return self._unreached(clock.now)
+        return self._store_unavailable(clock.now)
 
     def _renew(self):
-        """Renews by the revision last written, without a read."""
+        """Renews against the revision last written, without a read."""
         shard = self.shard
         renewals = shard.renewals + 1
         reply = yield from self._write(
@@ -163,17 +164,17 @@
         )
         return isinstance(reply, effects.Committed)
 
-    def _is_mine(self, shard):
+    def _is_held_here(self, shard):
         return (
             not shard.released
-            and shard.holder == self._name
+            and shard.holder == self._instance
             and shard.incarnation == self._incarnation
         )
 
-    def _observe(self, revision, now):
+    def _record_revision(self, revision, now):
         if revision != self._seen_revision:
             self._seen_revision = revision
-            self._seen_at = now
+            self._revision_seen_at = now
 
     def _blocked_reason(self, shard, all_check_fencing, is_gone, now):
         if shard.released:
@@ -185,20 +186,20 @@
                 f'holder "{shard.holder}" has neither released the shard '
                 'nor left the platform, and an upstream ignores fencing'
             )
-        unchanged_s = now - self._seen_at
+        unchanged_s = now - self._revision_seen_at
         if unchanged_s <= self._cfg.lease_s + self._cfg.drift_s:
             return f'"{shard.holder}" holds the lease'
         return ''
 
-    def _unreached(self, now):
+    def _store_unavailable(self, now):
         if self.holds(now):
             return Owned(self.shard, self._deadline)
         if self.shard is not None:
-            self._drop()
+            self._forget()
             return Lost('the store was not reached in time')
         return Waiting('the store was not reached')
 
-    def _drop(self):
+    def _forget(self):
         self.shard = None
         self._deadline = float('-inf')
 
@@ -211,20 +212,20 @@
         if isinstance(reply, effects.Committed):
             self.shard = shard
             self.revision = reply.revision
-            self._observe(reply.revision, clock.now)
+            self._record_revision(reply.revision, clock.now)
             lease_s = self._cfg.lease_s - self._cfg.drift_s
             self._deadline = clock.now + lease_s
         return reply
 
     def update(self, change):
-        """Changes the shard's orders while it is held.
+        """Updates the shard record while the lease is held.
 
         Args:
-            change: Function from the present Shard to the wanted one,
-                or to None if nothing is to be written.
+            change: Function of the current Shard that returns the new one,
+                or None if nothing is to be written.
 
         Returns:
-            The Shard as written, or None if it was not written.
+            The Shard as stored, or None if it could not be written.
         """
         for _attempt in range(MAX_ATTEMPTS):
             clock = yield effects.Clock()
@@ -234,40 +235,43 @@
             if not isinstance(reply, effects.Found):
                 return None
             shard = _shard.Shard.load(reply.record.value)
-            if not self._is_mine(shard):
-                self._drop()
+            if not self._is_held_here(shard):
+                self._forget()
                 return None
-            wanted = change(shard)
-            if wanted is None:
+            changed = change(shard)
+            if changed is None:
                 self.shard = shard
                 return shard
-            wanted = attrs.evolve(wanted, renewals=shard.renewals + 1)
-            result = yield from self._write(wanted, reply.record.revision)
-            if isinstance(result, effects.Committed):
-                return wanted
-            if isinstance(result, effects.Unavailable):
+            changed = attrs.evolve(changed, renewals=shard.renewals + 1)
+            write_reply = yield from self._write(
+                changed, reply.record.revision
+            )
+            if isinstance(write_reply, effects.Committed):
+                return changed
+            if isinstance(write_reply, effects.Unavailable):
                 return None
         return None
 
     def release(self):
-        """Gives the shard up, so that another may take it at once.
+        """Releases the lease, so that another instance can acquire it.
 
         Returns:
-            Whether it is released; False while a send is under way.
+            Whether it is released; False while an order is being sent and
+            if the store was not written.
         """
         self._releasing = True
         self._deadline = float('-inf')
-        if self._sends:
+        if self._active_sends:
             return False
         for _attempt in range(MAX_ATTEMPTS):
             reply = yield effects.Read(self._store_key)
             if not isinstance(reply, effects.Found):
                 return False
             shard = _shard.Shard.load(reply.record.value)
-            if not self._is_mine(shard):
-                self._drop()
+            if not self._is_held_here(shard):
+                self._forget()
                 return True
-            result = yield effects.Commit(
+            write_reply = yield effects.Commit(
                 (effects.Guard(self._store_key, reply.record.revision),),
                 (
                     effects.Put(
@@ -276,7 +280,7 @@
                     ),
                 ),
             )
-            if isinstance(result, effects.Committed):
-                self._drop()
+            if isinstance(write_reply, effects.Committed):
+                self._forget()
                 return True
         return False
