--- a/dandelionwinch/orders/_executor.py
+++ b/dandelionwinch/orders/_executor.py
@@ -1,4 +1,4 @@
-"""Carries out one order, step by step, as a decision program."""
+"""Executes role orders step by step, as a program without I/O."""
 
 import attrs
 
@@ -6,19 +6,20 @@
 from dandelionwinch.orders import _drain
 from dandelionwinch.orders import _shard
 
+# Each hold must outlast a send by this time.
 SEND_MARGIN_S = 3.0
 
 
 @attrs.frozen
 class PollUpstream:
-    """Asks an upstream for its Status; the reply is None if it is silent."""
+    """Requests an UpstreamStatus; the reply is None without a response."""
 
     upstream: str
 
 
 @attrs.frozen
 class HoldUpstream:
-    """Asks all instances to place nothing new; the reply is a Hold."""
+    """Stops new placements on all instances; the reply is a HoldState."""
 
     upstream: str
     order_id: str
@@ -26,7 +27,7 @@
 
 @attrs.frozen
 class ReleaseHold:
-    """Takes a hold back; there is no reply."""
+    """Releases a hold; there is no reply."""
 
     upstream: str
     order_id: str
@@ -34,9 +35,10 @@
 
 @attrs.frozen
 class SendOrder:
-    """Sends an order if the lease still holds at that moment.
+    """Sends an order if the lease is still held at that time.
 
-    The reply is None if no answer came, else whether it was taken.
+    The reply is whether the upstream accepted it, or None if no response
+    arrived.
     """
 
     order: _shard.Order
@@ -44,28 +46,28 @@
 
 @attrs.frozen
 class UpstreamStatus:
-    """An upstream's own word.
+    """The state that an upstream reports.
 
     Attributes:
-        order_id: The last order that it took.
-        away: Whether it is carrying that out.
-        jobs: Jobs that it serves.
-        epoch: Highest fencing number that it has seen.
+        order_id: The last order that it accepted.
+        applying_order: Whether it is still executing that order.
+        jobs: Number of jobs that it serves.
+        epoch: Highest fencing token that it has seen.
     """
 
     order_id: str
-    away: bool
+    applying_order: bool
     jobs: int
     epoch: int = 0
 
 
 @attrs.frozen
 class HoldState:
-    """How a hold stands.
+    """The state of a hold on an upstream.
 
     Attributes:
-        may_live: Names of the instances that may live.
-        reports: DrainReport by instance.
+        maybe_alive: Names of the instances that may still be alive.
+        reports: DrainReport by instance name.
     """
 
     maybe_alive: tuple
@@ -74,11 +76,11 @@
 
 @attrs.frozen
 class DesiredRole:
-    """What is wanted of an upstream.
+    """The role that an upstream should have.
 
     Attributes:
-        source: Catalog revision that asked for it.
-        order_id: Identifier for the order, should it be written.
+        source: Catalog revision that set it, or 0 for a policy.
+        order_id: Identifier of the order, if one is written.
     """
 
     role: str
@@ -88,12 +90,12 @@
 
 @attrs.frozen
 class Progress:
-    """Result of a step.
+    """The result of a step.
 
     Attributes:
-        event: What happened, or an empty text.
-        reason: Why the order waits, or an empty text.
-        order_id: The order, if there is one.
+        event: Name of the event to log, or an empty string.
+        reason: Why the order waits, or an empty string.
+        order_id: Identifier of the order, or an empty string.
     """
 
     event: str = ''
@@ -102,28 +104,32 @@
 
 
 class OrderExecutor:
-    """Carries out the orders of one shard's holder.
+    """Executes the orders of a shard while this instance holds its lease.
 
-    An order is in the store before it is sent, an upstream has at most
-    one open order, and an order is closed only on the upstream's own
-    word. Each order has a fencing number of its own, so that a delayed
-    copy of a closed order is refused. Where an upstream ignores fencing
-    numbers, the next order waits until no copy can be under way.
+    An order is written to the store before it is sent, an upstream has at
+    most one open order, and an order is closed only when the upstream
+    itself reports it. Each order has its own fencing token, so that a
+    delayed copy of a closed order is rejected. If an upstream ignores
+    fencing tokens, the next order waits until no copy can be in flight.
+
+    Args:
+        lease: ShardLease of the shard.
+        settle_s: Seconds after which no copy of an order is in flight.
     """
 
-    __slots__ = ('_lease', '_closed_seen', '_settle_s')
+    __slots__ = ('_closed_seen_at', '_lease', '_settle_s')
 
-    def __init__(self, authority, settle_s):
-        self._lease = authority
+    def __init__(self, lease, settle_s):
+        self._lease = lease
         self._settle_s = settle_s
-        self._closed_seen = {}
+        self._closed_seen_at = {}
 
-    def step(self, upstream, wish):
-        """Goes on with an upstream's order, or writes a wished one.
+    def step(self, upstream, desired):
+        """Advances an upstream's open order, or writes a new one.
 
         Args:
-            upstream: The upstream's settings.
-            wish: A Wish, or None.
+            upstream: Settings of the upstream.
+            desired: DesiredRole for a new order, or None.
 
         Returns:
             Progress.
@@ -133,36 +139,40 @@
             return Progress()
         order = shard.open_order(upstream.name)
         if order is not None:
-            return (yield from self._go_on(upstream, order))
-        if wish is None:
+            return (yield from self._continue(upstream, order))
+        if desired is None:
             return Progress()
-        return (yield from self._write(shard, upstream, wish))
+        return (yield from self._write(shard, upstream, desired))
 
-    def _write(self, shard, upstream, wish):
+    def _write(self, shard, upstream, desired):
         clock = yield effects.Clock()
-        reason = self._unsettled(shard, upstream, clock.now)
+        reason = self._settle_reason(shard, upstream, clock.now)
         if reason:
             return Progress(reason=reason)
 
-        def add(held):
-            if held.open_order(upstream.name) is not None:
+        def add(current):
+            if current.open_order(upstream.name) is not None:
                 return None
-            epoch = held.epoch + 1
+            epoch = current.epoch + 1
             order = _shard.Order(
-                wish.order_id, epoch, upstream.name, wish.role, wish.source
+                desired.order_id,
+                epoch,
+                upstream.name,
+                desired.role,
+                desired.source,
             )
-            return attrs.evolve(held.with_order(order), epoch=epoch)
+            return attrs.evolve(current.with_order(order), epoch=epoch)
 
-        written = yield from self._lease.update(add)
-        if written is None:
+        updated = yield from self._lease.update(add)
+        if updated is None:
             return Progress(reason='the order was not written')
-        return Progress('order.written', order_id=wish.order_id)
+        return Progress('order.written', order_id=desired.order_id)
 
-    def _unsettled(self, shard, upstream, now):
+    def _settle_reason(self, shard, upstream, now):
         last = shard.orders.get(upstream.name)
         if upstream.checks_fencing or last is None:
             return ''
-        since = self._closed_seen.setdefault(last.id, now)
+        since = self._closed_seen_at.setdefault(last.id, now)
         if now - since >= self._settle_s:
             return ''
         return (
@@ -170,43 +180,43 @@
             'ignores fencing'
         )
 
-    def _go_on(self, upstream, order):
+    def _continue(self, upstream, order):
         status = yield PollUpstream(upstream.name)
         if status is not None and status.order_id == order.id:
-            if status.away:
+            if status.applying_order:
                 return Progress(reason='being carried out', order_id=order.id)
             state = _shard.OrderState.DONE
             return (yield from self._close(order, state, order.epoch))
-        hold = yield HoldUpstream(upstream.name, order.id)
+        hold_state = yield HoldUpstream(upstream.name, order.id)
         clock = yield effects.Clock()
         reason = _drain.may_send(
-            hold.maybe_alive,
-            hold.reports,
+            hold_state.maybe_alive,
+            hold_state.reports,
             None if status is None else status.jobs,
             clock.now,
             SEND_MARGIN_S,
         )
         if reason:
             return Progress('order.waits', reason, order.id)
-        taken = yield SendOrder(order)
-        if taken is None:
+        accepted = yield SendOrder(order)
+        if accepted is None:
             return Progress('order.unanswered', 'no answer', order.id)
-        if not taken:
+        if not accepted:
             state = _shard.OrderState.FENCED
             epoch = max(order.epoch, status.epoch)
             return (yield from self._close(order, state, epoch))
         return Progress('order.sent', 'being carried out', order.id)
 
     def _close(self, order, state, epoch):
-        def close(held):
-            last = held.orders.get(order.upstream)
+        def close(current):
+            last = current.orders.get(order.upstream)
             if last is None or last.id != order.id:
                 return None
-            closed = held.with_order(attrs.evolve(last, state=state))
-            return attrs.evolve(closed, epoch=max(held.epoch, epoch))
+            closed = current.with_order(attrs.evolve(last, state=state))
+            return attrs.evolve(closed, epoch=max(current.epoch, epoch))
 
-        written = yield from self._lease.update(close)
-        if written is None:
+        updated = yield from self._lease.update(close)
+        if updated is None:
             return Progress(reason='not recorded yet', order_id=order.id)
         yield ReleaseHold(order.upstream, order.id)
         return Progress('order.closed', str(state), order.id)
