--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -1,4 +1,8 @@
-"""Authority over upstreams, and orders that outlive their sender."""
+"""Role orders to upstreams, under a lease per shard of upstreams.
+
+Orders are stored, so that the next holder of the lease completes an order
+whose sender has stopped.
+"""
 
 from dandelionwinch.orders._drain import DrainReport
 from dandelionwinch.orders._drain import may_send
--- a/dandelionwinch/orders/_shard.py
+++ b/dandelionwinch/orders/_shard.py
@@ -1,4 +1,4 @@
-"""The store record of a shard: who leads it, and its orders."""
+"""The store record of a shard: its lease and its orders."""
 
 import enum
 import json
@@ -8,7 +8,7 @@
 
 
 class OrderState(enum.StrEnum):
-    """How far an order has come."""
+    """State of an order."""
 
     OPEN = 'open'
     DONE = 'done'
@@ -17,13 +17,13 @@
 
 @attrs.frozen
 class Order:
-    """An order to an upstream.
+    """An order to an upstream to change its role.
 
     Attributes:
         id: Identifier that the upstream reports back.
-        epoch: Fencing number of this order alone.
-        role: Role that the upstream shall take.
-        source: Catalog revision that asked for it, or 0 for a policy.
+        epoch: Fencing token of this order alone.
+        role: Role that the upstream is to change to.
+        source: Catalog revision that set the role, or 0 for a policy.
     """
 
     id: str
@@ -36,15 +36,15 @@
 
 @attrs.frozen
 class Shard:
-    """One record: lease and orders change together or not at all.
+    """The lease and the orders of a shard, stored and updated as one record.
 
     Attributes:
-        epoch: Fencing number; rises with each holder and order.
-        holder: Name of the holding instance, or empty.
-        incarnation: Which process of that name.
-        renewals: Changes with each renewal, so that watchers see life.
-        released: Whether the holder gave the lease up.
-        orders: The last order of each upstream.
+        epoch: Fencing token; increases with each holder and each order.
+        holder: Name of the instance that holds the lease, or ''.
+        incarnation: Incarnation of the holder's process.
+        renewals: Renewal count; a change shows that the holder is alive.
+        released: Whether the holder released the lease.
+        orders: The last order of each upstream, by its name.
     """
 
     epoch: int = 0
@@ -56,13 +56,13 @@
 
     @classmethod
     def load(cls, value):
-        """Reads a shard from its store value, which may be None."""
+        """Decodes a shard from its store value, which may be None."""
         if not value:
             return cls()
         return cattrs.structure(json.loads(value), cls)
 
     def dump(self):
-        """Returns the store value."""
+        """Encodes the shard as its store value."""
         raw = cattrs.unstructure(self)
         return json.dumps(raw, separators=(',', ':')).encode()
 
@@ -74,14 +74,14 @@
         return None
 
     def with_order(self, order):
-        """Returns the shard with an upstream's order replaced."""
+        """Returns a copy with the order of one upstream replaced."""
         return attrs.evolve(
             self, orders={**self.orders, order.upstream: order}
         )
 
 
 def shard_of(pool):
-    """Returns the name of a pool's shard: its data centre and service."""
+    """Returns the name of a pool's shard, "data centre/service"."""
     service = pool.model or '+'.join(sorted(pool.services))
     return f'{pool.data_centre}/{service}'
 
