--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -43,12 +43,12 @@
     )
 
     def __init__(
-        self, loop, store, sync, served, sender, log, rng, cfg, clock
+        self, loop, store, sync, gateway, sender, log, rng, cfg, clock
     ):
         self._loop = loop
         self._store = store
         self._sync = sync
-        self._gateway = served
+        self._gateway = gateway
         self._sender = sender
         self._clock = clock
         self._log = log
@@ -105,7 +105,7 @@
             lease, self._lease = self._lease, 0
             await self._end(lease)
         asked_at = self._clock()
-        self._lease = await self._store.lease(self._ttl_s)
+        self._lease = await self._store.grant_lease(self._ttl_s)
         try:
             token = await self._store.put(
                 HOLDER_KEY, self._name.encode(), self._lease, revision=0
@@ -119,14 +119,14 @@
 
     async def _end(self, lease):
         try:
-            await self._store.end(lease)
+            await self._store.revoke_lease(lease)
         except _store.StoreFailed as exc:
             self._log.event('orders.lease_not_ended', reason=str(exc))
 
     async def _renew(self):
         asked_at = self._clock()
         try:
-            await self._store.keep(self._lease)
+            await self._store.renew_lease(self._lease)
         except _store.LeaseEnded:
             self._lose('the lease has ended')
             return
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -69,7 +69,7 @@
             wait_s = self._ttl_s / 3
             try:
                 if self._registered:
-                    await self._store.keep(self._lease)
+                    await self._store.renew_lease(self._lease)
                 else:
                     await self._register()
             except _store.LeaseEnded:
@@ -86,7 +86,7 @@
         # Known before the entry is written, so that a stop in between
         # ends it.
         if not self._lease:
-            self._lease = await self._store.lease(self._ttl_s)
+            self._lease = await self._store.grant_lease(self._ttl_s)
         await self._store.put(self._key, self._value, self._lease)
         self._registered = True
         self._log.event('registration.made', lease=self._lease)
@@ -98,7 +98,7 @@
         if not self._lease:
             return
         try:
-            await self._store.end(self._lease)
+            await self._store.revoke_lease(self._lease)
         except _store.StoreFailed as exc:
             self._log.event('registration.not_withdrawn', reason=str(exc))
 
--- a/dandelionwinch/control/_store.py
+++ b/dandelionwinch/control/_store.py
@@ -69,13 +69,13 @@
     async def watch(self, prefix, after, wait_s):
         """Returns a Listing of changes, or raises HistoryGone."""
 
-    async def lease(self, ttl_s):
+    async def grant_lease(self, ttl_s):
         """Returns the id of a new lease."""
 
-    async def keep(self, lease):
+    async def renew_lease(self, lease):
         """Renews a lease, or raises LeaseEnded."""
 
-    async def end(self, lease):
+    async def revoke_lease(self, lease):
         """Ends a lease and removes its keys."""
 
     async def put(self, key, value, lease=0, revision=None):
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -40,12 +40,12 @@
     )
 
     def __init__(
-        self, loop, store, store_codec, served, capacity, log, rng, on_config
+        self, loop, store, store_codec, gateway, capacity, log, rng, on_config
     ):
         self._loop = loop
         self._store = store
         self._store_codec = store_codec
-        self._gateway = served
+        self._gateway = gateway
         self._capacity = capacity
         self._log = log
         self._rng = rng
--- a/dandelionwinch/platform/_store.py
+++ b/dandelionwinch/platform/_store.py
@@ -10,7 +10,7 @@
 CALL_TIMEOUT_S = 1.5
 WATCH_MARGIN_S = 0.6
 CONNECTIONS = 4
-END_TRIES = 3
+REVOKE_ATTEMPTS = 3
 
 
 class Store:
@@ -62,18 +62,18 @@
         items = tuple(_item(row) for row in data['events'])
         return control.Listing(items, data['storeRevision'])
 
-    async def lease(self, ttl_s):
+    async def grant_lease(self, ttl_s):
         """Returns the id of a new lease."""
         body = {'ttlMs': int(ttl_s * 1e3)}
         return (await self._call('POST', '/-/kv-lease', body=body))['lease']
 
-    async def keep(self, lease):
+    async def renew_lease(self, lease):
         """Renews a lease."""
         await self._call('POST', f'/-/kv-keep/{lease}')
 
-    async def end(self, lease):
+    async def revoke_lease(self, lease):
         """Ends a lease and removes its keys; a lost call is repeated."""
-        for tries_left in reversed(range(END_TRIES)):
+        for tries_left in reversed(range(REVOKE_ATTEMPTS)):
             try:
                 await self._call('DELETE', f'/-/kv-lease-end/{lease}')
                 return
