--- a/dandelionwinch/control/__init__.py
+++ b/dandelionwinch/control/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps one instance in step with the store, from start to planned stop."""
+"""Runs one instance: store sync, registration, orders and shutdown."""
 
 from dandelionwinch.control._config import InstanceConfig
 from dandelionwinch.control._instance import Instance
--- a/dandelionwinch/control/_config.py
+++ b/dandelionwinch/control/_config.py
@@ -1,10 +1,10 @@
-"""What one instance is told at its start."""
+"""Start-up configuration of one instance."""
 
 import attrs
 
-# What one request takes of an instance, as far as shares go.
-REQUEST_CORE_S = 0.002
-REQUEST_BITS = 240_000
+# Cost of one request, by which instances are compared to share limits.
+CORE_S_PER_REQUEST = 0.002
+BITS_PER_REQUEST = 240_000
 BITS_PER_MEGABIT = 1_000_000
 
 
@@ -14,19 +14,21 @@
 
     Attributes:
         regions: Region of each data centre.
-        callers: Address for callers' requests, or ''.
-        readiness: Address for questions whether it is ready, or ''.
-        directory: Address for questions where to connect, or ''.
+        callers: Listen address for callers' requests, or ''.
+        readiness: Listen address of the readiness probe, or ''.
+        directory: Listen address of the directory, which resolves the
+            service name to addresses of instances, or ''.
         store: Address of the store.
-        cores: Processor time per second that the machine grants.
-        link_mbps: Megabits per second of the machine's link.
+        cores: CPU seconds per second that the machine grants.
+        link_mbps: Bandwidth of the machine's link in megabits per second.
         grace_s: Seconds between SIGTERM and SIGKILL.
-        retry_ratio: Repeats allowed for each request, for all instances.
-        retry_slack: Repeats allowed besides, for all instances.
-        least_lease_s: Shortest lease that the store grants.
-        turn_s: Least time between orders of two instances.
-        max_ttl_s: Longest time that an address answer may hold.
-        findings: Fields that were replaced by defaults, and why.
+        retry_ratio: Retries allowed per request, over all instances.
+        retry_slack: Retries allowed in addition, over all instances.
+        retry_window_s: Window of the retry budget in seconds.
+        min_lease_s: Shortest lease that the store grants.
+        handover_s: Minimum time between orders of two instances.
+        max_ttl_s: Longest time for which resolved addresses may be valid.
+        findings: Fields that were replaced by defaults, with the reason.
     """
 
     instance: str
@@ -50,11 +52,13 @@
 
     @property
     def capacity(self):
-        """Returns the requests per second that the machine can carry."""
+        """Requests per second that the machine can serve."""
         link_bits_per_s = self.link_mbps * BITS_PER_MEGABIT
-        return min(self.cores / REQUEST_CORE_S, link_bits_per_s / REQUEST_BITS)
+        return min(
+            self.cores / CORE_S_PER_REQUEST, link_bits_per_s / BITS_PER_REQUEST
+        )
 
     @property
     def region(self):
-        """Returns the region of the instance, or ''."""
+        """Region of the instance, or ''."""
         return self.regions.get(self.data_centre, '')
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -13,9 +13,9 @@
 from dandelionwinch import routes
 
 ANSWER_TTL_S = 2
-LINGER_S = 4.0
+MIN_DRAIN_S = 4.0
 STOP_MARGIN_S = 0.4
-STOP_STEP_S = 0.1
+DRAIN_POLL_S = 0.1
 
 
 class Instance:
@@ -40,9 +40,9 @@
             cfg.capacity,
             self.log,
             rng,
-            self._configured,
+            self._on_config,
         )
-        self._presence = addresses.Presence(
+        self._entry = addresses.Presence(
             cfg.instance,
             cfg.callers,
             cfg.data_centre,
@@ -53,7 +53,7 @@
             loop,
             store,
             self.log,
-            self._presence,
+            self._entry,
             max(_registration.LEASE_S, cfg.min_lease_s),
         )
         self._order_leader = _order_leader.OrderLeader(
@@ -116,7 +116,7 @@
         self.log.flush()
         self._flusher = self._loop.call_later(eventlog.FLUSH_S, self._flush)
 
-    def _configured(self, table):
+    def _on_config(self, table):
         self._callers.limits = table.limits
         if not self._registered and not self._stopping:
             self._registered = True
@@ -130,10 +130,10 @@
 
     def addresses_for(self, data_centre, region):
         """Returns addresses for a caller, and seconds that they hold."""
-        present = {p.name: p for p in self._sync.members.present.values()}
-        present.pop(self._presence.name, None)
+        present = {p.name: p for p in self._sync.registered.entries.values()}
+        present.pop(self._entry.name, None)
         if self.ready:
-            present[self._presence.name] = self._presence
+            present[self._entry.name] = self._entry
         found = addresses.nearest(
             present.values(), data_centre, region, self._rng
         )
@@ -159,8 +159,8 @@
         self._callers.drain()
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
-            await asyncio.sleep(STOP_STEP_S)
-            lingered = self._loop.time() - began > LINGER_S
+            await asyncio.sleep(DRAIN_POLL_S)
+            lingered = self._loop.time() - began > MIN_DRAIN_S
             if lingered and not self._gateway.active:
                 break
         self.log.event('instance.stopped', active=self._gateway.active)
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -1,4 +1,4 @@
-"""Holds the lease for orders and gives them to engines."""
+"""Acquires the order lease, and sends role orders while it is held."""
 
 import asyncio
 import traceback
@@ -8,38 +8,52 @@
 from dandelionwinch import leadership
 
 HOLDER_KEY = 'dandelionwinch/orders/holder'
-CHANGE_PREFIX = 'dandelionwinch/orders/changes/'
-SIZE_KEY = 'dandelionwinch/capacity'
-ANNOUNCE_S = 1.2
-CHANGE_S = 16.0
+ROLE_CHANGE_PREFIX = 'dandelionwinch/orders/changes/'
+CAPACITY_KEY = 'dandelionwinch/capacity'
+# Time for the other instances to read an announced role change.
+ANNOUNCE_WAIT_S = 1.2
+# How long an announced engine is treated as changing its role.
+ROLE_CHANGE_S = 16.0
+# Minimum time between two orders of this instance.
 SETTLE_S = 5.0
-# By instances, so that few of many try at once.
-TAKE_SPREAD_S = 0.35
+# Per registered instance, so that few of many try at once.
+ACQUIRE_JITTER_S = 0.35
 RETRY_S = 1.0
+# A renewal counts only if the holder was read from the store this recently.
 MAX_VIEW_AGE_S = 4.5
 
 
 class OrderLeader:
-    """A task that tries to become the holder and acts while it is.
-
-    Its clock must also count suspension of the machine.
+    """A task that acquires the order lease and sends orders while it holds it.
+
+    Args:
+        loop: Event loop.
+        store: Store.
+        sync: StoreSync, which follows the holder and the instances.
+        gateway: Gateway whose engines get the orders.
+        sender: OrderSender.
+        log: EventLog.
+        rng: Random number generator.
+        cfg: InstanceConfig.
+        clock: Function that returns seconds of a clock that runs while the
+            machine is suspended.
     """
 
     __slots__ = (
         '_clock',
         '_gateway',
-        '_lease',
         '_leadership',
+        '_lease',
+        '_lease_s',
         '_log',
         '_loop',
         '_name',
-        '_next_at',
+        '_next_order_at',
         '_rng',
         '_sender',
         '_store',
         '_sync',
         '_task',
-        '_ttl_s',
     )
 
     def __init__(
@@ -54,10 +68,10 @@
         self._log = log
         self._rng = rng
         self._name = cfg.instance
-        self._ttl_s = max(leadership.LEASE_S, cfg.min_lease_s)
+        self._lease_s = max(leadership.LEASE_S, cfg.min_lease_s)
         self._leadership = leadership.Leadership(cfg.handover_s)
         self._lease = 0
-        self._next_at = 0.0
+        self._next_order_at = 0.0
         self._task = None
 
     def start(self):
@@ -70,106 +84,108 @@
             self._task.cancel()
 
     async def resign(self):
-        """Stops the task and ends the lease, as before a planned stop."""
+        """Stops the task and revokes the lease, before a planned stop."""
         self.close()
         lease, self._lease = self._lease, 0
         self._leadership.lost()
         if lease:
-            await self._end(lease)
+            await self._revoke(lease)
 
     async def _run(self):
         while True:
             try:
                 if self._leadership.held:
                     await self._renew()
-                    await self._keep_size()
-                    await self._act()
+                    await self._store_capacity()
+                    await self._send_next_order()
                     await asyncio.sleep(leadership.RENEW_INTERVAL_S)
                 else:
-                    await self._take()
+                    await self._acquire()
             except _store.StoreFailed as exc:
                 self._log.event('orders.store_failed', reason=str(exc))
                 await asyncio.sleep(RETRY_S)
             except Exception:
-                # Without this task no role changes until the next start.
+                # If this task ended, no role would change until a restart.
                 self._log.event('orders.fault', trace=traceback.format_exc())
                 await asyncio.sleep(RETRY_S)
 
-    async def _take(self):
-        """Tries to become the holder once nobody is."""
-        spread_s = TAKE_SPREAD_S * max(1, len(self._sync.members.present))
+    async def _acquire(self):
+        """Tries to acquire the lease if it has no holder."""
+        spread_s = ACQUIRE_JITTER_S * max(
+            1, len(self._sync.registered.entries)
+        )
         await asyncio.sleep(RETRY_S + spread_s * self._rng.random())
         if not self._sync.ready or self._sync.holder:
             return
         if self._lease:
             lease, self._lease = self._lease, 0
-            await self._end(lease)
-        asked_at = self._clock()
-        self._lease = await self._store.grant_lease(self._ttl_s)
+            await self._revoke(lease)
+        sent_at = self._clock()
+        self._lease = await self._store.grant_lease(self._lease_s)
         try:
             token = await self._store.put(
                 HOLDER_KEY, self._name.encode(), self._lease, revision=0
             )
         except _store.Conflict:
-            await self._end(self._lease)
+            await self._revoke(self._lease)
             self._lease = 0
             return
-        self._leadership.acquired(token, asked_at)
+        self._leadership.acquired(token, sent_at)
         self._log.event('orders.held', token=token)
 
-    async def _end(self, lease):
+    async def _revoke(self, lease):
         try:
             await self._store.revoke_lease(lease)
         except _store.StoreFailed as exc:
             self._log.event('orders.lease_not_ended', reason=str(exc))
 
     async def _renew(self):
-        asked_at = self._clock()
+        sent_at = self._clock()
         try:
             await self._store.renew_lease(self._lease)
         except _store.LeaseEnded:
-            self._lose('the lease has ended')
+            self._record_loss('the lease has ended')
             return
         if self._sync.holder not in ('', self._name):
-            self._lose('another instance holds it')
+            self._record_loss('another instance holds it')
         elif self._sync.age_s() <= MAX_VIEW_AGE_S:
-            self._leadership.renewed(asked_at)
+            self._leadership.renewed(sent_at)
 
-    def _lose(self, reason):
+    def _record_loss(self, reason):
         self._log.event('orders.lost', reason=reason)
         self._leadership.lost()
 
-    async def _keep_size(self):
-        """Keeps the capacity of all instances for those that start."""
-        members = self._sync.members
-        capacity = round(members.capacity(self._loop.time()))
-        if self._leadership.held and members.is_outdated(capacity):
-            await self._store.put(SIZE_KEY, str(capacity).encode())
-            members.note(capacity)
+    async def _store_capacity(self):
+        """Stores the total capacity for instances that start later."""
+        registered = self._sync.registered
+        capacity = round(registered.capacity(self._loop.time()))
+        if self._leadership.held and registered.should_store(capacity):
+            await self._store.put(CAPACITY_KEY, str(capacity).encode())
+            registered.set_stored_capacity(capacity)
 
-    async def _act(self):
-        """Gives the next order, if one is due and allowed."""
+    async def _send_next_order(self):
+        """Announces and sends the next order, if one is due and allowed."""
         now = self._loop.time()
-        if now < self._next_at or not self._may_order():
+        if now < self._next_order_at or not self._may_order():
             return
-        change = self._plan(now)
+        change = self._plan_role_change(now)
         if change is None:
             return
-        self._next_at = now + SETTLE_S
+        self._next_order_at = now + SETTLE_S
         belief = self._gateway.fleet.beliefs.get(change.upstream_id)
         await self._store.put(
-            CHANGE_PREFIX + change.upstream_id,
+            ROLE_CHANGE_PREFIX + change.upstream_id,
             change.role.value.encode(),
             self._lease,
         )
-        self._gateway.changing(change.upstream_id, CHANGE_S)
-        await asyncio.sleep(ANNOUNCE_S)
+        self._gateway.changing(change.upstream_id, ROLE_CHANGE_S)
+        await asyncio.sleep(ANNOUNCE_WAIT_S)
         await self._renew()
         if self._gateway.fleet.beliefs.serves(belief):
-            await self._order(belief, change)
-        self._next_at = self._loop.time() + SETTLE_S
+            await self._send(belief, change)
+        self._next_order_at = self._loop.time() + SETTLE_S
 
-    def _plan(self, now):
+    def _plan_role_change(self, now):
         fleet = self._gateway.fleet
         for service in fleet.table.services.values():
             if service.engine is None:
@@ -186,7 +202,7 @@
                 return change
         return None
 
-    async def _order(self, belief, change):
+    async def _send(self, belief, change):
         sent = await self._sender.send(
             belief, change, self._leadership.token, self._may_order
         )
--- a/dandelionwinch/control/_order_sender.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -1,4 +1,4 @@
-"""Sends an order to an engine, after a last look at the right to do so."""
+"""Sends an order to an engine, after a last check of the order lease."""
 
 import time
 
@@ -10,16 +10,17 @@
 
 
 def boot_clock():
-    """Returns seconds that also count suspension of the machine."""
+    """Returns seconds of a clock that runs while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @attrs.frozen
 class Sent:
-    """What came of an order.
+    """The result of sending an order.
 
     Attributes:
-        status: Status of the engine's answer, 0 if there was none.
+        status: HTTP status of the engine's response, 0 without one.
+        reason: Why there is no response, or ''.
     """
 
     status: int
@@ -36,31 +37,33 @@
         self._wire_codec = wire_codec
         self._name = name
 
-    async def send(self, belief, change, token, may_order):
-        """Sends an order that holds only for the engine's present state.
+    async def send(self, upstream, change, token, may_order):
+        """Sends an order that is valid only for the engine's current state.
 
         Args:
-            belief: The engine.
+            upstream: The engine.
             change: The RoleOrder.
             token: Fencing token.
-            may_order: Function that tells whether it may be sent now.
+            may_order: Function that returns whether an order may be sent.
 
         Returns:
             Sent.
         """
-        pool = self._fleet.pool(belief)
+        pool = self._fleet.pool(upstream)
         try:
-            accepted = await self._accepted(pool, change.upstream_id)
-            if accepted is None:
+            accepted_count = await self._fetch_accepted_count(
+                pool, change.upstream_id
+            )
+            if accepted_count is None:
                 return Sent(0, 'the engine is busy')
             request = gateway.request_bytes(
                 *self._wire_codec.order_request(
-                    change, self._name, token, accepted
+                    change, self._name, token, accepted_count
                 )
             )
             conn = await pool.take(ORDER_TIMEOUT_S)
             try:
-                # Nothing is awaited between this check and the bytes.
+                # There must be no await between this check and the write.
                 if not may_order():
                     return Sent(0, 'the lease is not certain')
                 conn.begin(request)
@@ -71,8 +74,8 @@
             return Sent(0, str(exc))
         return Sent(head.status, '')
 
-    async def _accepted(self, pool, upstream_id):
-        """Returns the number of orders that an engine has accepted."""
+    async def _fetch_accepted_count(self, pool, upstream_id):
+        """Returns how many orders an engine accepted, None if it is busy."""
         request = gateway.request_bytes(
             *self._wire_codec.report_request(upstream_id), b''
         )
--- a/dandelionwinch/control/_registered.py
+++ b/dandelionwinch/control/_registered.py
@@ -1,63 +1,85 @@
-"""What part of all limits one instance has, also after a common restart.
+"""Registered instances, and the share of all limits that each one may use.
 
-Parts are by capacity. If an instance knew too little of the others, all
-of them together would go over a limit. So one that vanished is counted
-for some time yet; and one that starts counts at least what there was, by
-a number that the holder of the orders keeps in the store.
+Shares are by capacity. If instances underestimated the capacity of the
+others, together they would exceed a limit. So an instance whose entry is
+gone still counts for some time, and an instance that has just started,
+possibly together with all others, counts at least the total capacity that
+the order leader keeps in the store.
 """
 
-KEEP_S = 20.0
-SHRUNK_SHARE = 0.8
+# How long a removed entry still counts, and for how long after the start
+# the stored capacity is a lower bound.
+RETENTION_S = 20.0
+SHRINK_RATIO = 0.8
 
 
 class RegisteredInstances:
-    """Instances by their entries in the store.
+    """The instances that have an entry in the store.
 
     Attributes:
-        present: Presence of each instance, by key.
+        entries: Entry of each instance, by store key.
     """
 
-    __slots__ = ('_began_at', '_capacity', '_noted', '_seen_at', 'present')
+    __slots__ = (
+        '_began_at',
+        '_capacity',
+        '_stored_capacity',
+        '_seen_at',
+        'entries',
+    )
 
     def __init__(self):
-        self.present = {}
+        self.entries = {}
         self._capacity = {}
         self._seen_at = {}
-        self._noted = 0.0
+        self._stored_capacity = 0.0
         self._began_at = None
 
-    def add(self, key, presence):
-        """Takes an entry."""
-        self.present[key] = presence
-        self._capacity[key] = presence.capacity
+    def add(self, key, entry):
+        """Adds or replaces an entry."""
+        self.entries[key] = entry
+        self._capacity[key] = entry.capacity
 
     def remove(self, key):
-        """Tells whether an entry was there until now."""
-        return self.present.pop(key, None) is not None
+        """Removes an entry and returns whether there was one."""
+        return self.entries.pop(key, None) is not None
 
-    def note(self, capacity):
-        """Takes the capacity of all that the store keeps."""
-        self._noted = capacity
+    def set_stored_capacity(self, capacity):
+        """Sets the total capacity that the store keeps."""
+        self._stored_capacity = capacity
 
     def capacity(self, now):
-        """Returns the capacity of all instances to share limits with."""
+        """Returns the total capacity of the instances that share limits."""
         if self._began_at is None:
             self._began_at = now
-        for key in self.present:
+        for key in self.entries:
             self._seen_at[key] = now
         self._seen_at = {
-            key: at for key, at in self._seen_at.items() if now - at <= KEEP_S
+            key: at
+            for key, at in self._seen_at.items()
+            if now - at <= RETENTION_S
         }
-        known = sum(self._capacity[key] for key in self._seen_at)
-        if now - self._began_at <= KEEP_S:
-            return max(known, self._noted)
-        return known
+        current = sum(self._capacity[key] for key in self._seen_at)
+        if now - self._began_at <= RETENTION_S:
+            return max(current, self._stored_capacity)
+        return current
 
-    def parts(self, own, now):
-        """Returns how many parts like one's own there are, 1 at least."""
+    def instance_count(self, own, now):
+        """Returns the total capacity in units of an instance's own.
+
+        Args:
+            own: Capacity of the instance.
+            now: Time in seconds.
+
+        Returns:
+            At least 1; the inverse is the instance's share of all limits.
+        """
         return max(1.0, self.capacity(now) / own)
 
-    def is_outdated(self, capacity):
-        """Tells whether the store should keep this number instead."""
-        shrunk = capacity < SHRUNK_SHARE * self._noted
-        return shrunk or capacity > self._noted
+    def should_store(self, capacity):
+        """Returns whether this total capacity is to replace the stored one.
+
+        Growth is stored at once, a decrease only if it is large.
+        """
+        shrunk = capacity < SHRINK_RATIO * self._stored_capacity
+        return shrunk or capacity > self._stored_capacity
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -1,4 +1,4 @@
-"""This instance's entry in the store, under a lease."""
+"""Registers the local instance in the store, under a lease."""
 
 import asyncio
 import json
@@ -11,62 +11,77 @@
 INSTANCE_PREFIX = 'dandelionwinch/instances/'
 LEASE_S = 4.0
 RETRY_S = 1.0
+# Shorter, as the entry is already gone when its lease has lapsed.
 LAPSED_RETRY_S = 0.1
 
 
-def read_presence(value):
-    """Reads an instance's entry.
+def read_entry(value):
+    """Decodes an instance's entry.
+
+    Args:
+        value: Bytes of the entry.
+
+    Returns:
+        The InstanceEntry.
 
     Raises:
         EntryInvalid: If a field is missing or of another type.
     """
     try:
         data = json.loads(value)
-        presence = addresses.Presence(**data)
+        entry = addresses.Presence(**data)
     except (ValueError, TypeError) as exc:
         raise _store.EntryInvalid(f"an instance's entry: {exc}") from exc
     for name, value in data.items():
         kind = (int, float) if name == 'capacity' else str
         if isinstance(value, bool) or not isinstance(value, kind):
             raise _store.EntryInvalid(f'field "{name}" is {value!r}')
-    if not presence.capacity > 0:
-        raise _store.EntryInvalid(f'capacity is {presence.capacity!r}')
-    return presence
+    if not entry.capacity > 0:
+        raise _store.EntryInvalid(f'capacity is {entry.capacity!r}')
+    return entry
 
 
 class Registration:
-    """Keeps this instance's entry in the store while it is ready."""
+    """Keeps the local instance's entry in the store.
+
+    Args:
+        loop: Event loop.
+        store: Store.
+        log: EventLog.
+        entry: InstanceEntry of the local instance.
+        lease_s: Lease time in seconds.
+    """
 
     __slots__ = (
         '_key',
         '_lease',
+        '_lease_s',
         '_log',
         '_loop',
         '_registered',
         '_store',
         '_task',
-        '_ttl_s',
         '_value',
     )
 
-    def __init__(self, loop, store, log, presence, ttl_s):
+    def __init__(self, loop, store, log, entry, lease_s):
         self._loop = loop
         self._store = store
         self._log = log
-        self._key = INSTANCE_PREFIX + presence.name
-        self._value = json.dumps(attrs.asdict(presence)).encode()
-        self._ttl_s = ttl_s
+        self._key = INSTANCE_PREFIX + entry.name
+        self._value = json.dumps(attrs.asdict(entry)).encode()
+        self._lease_s = lease_s
         self._lease = 0
         self._registered = False
         self._task = None
 
     def start(self):
-        """Starts to register and to renew."""
+        """Starts the task that registers the instance and renews its lease."""
         self._task = self._loop.create_task(self._run())
 
     async def _run(self):
         while True:
-            wait_s = self._ttl_s / 3
+            wait_s = self._lease_s / 3
             try:
                 if self._registered:
                     await self._store.renew_lease(self._lease)
@@ -83,16 +98,16 @@
             await asyncio.sleep(wait_s)
 
     async def _register(self):
-        # Known before the entry is written, so that a stop in between
-        # ends it.
+        # Set before the entry is written, so that withdraw() also revokes a
+        # lease whose entry is being written.
         if not self._lease:
-            self._lease = await self._store.grant_lease(self._ttl_s)
+            self._lease = await self._store.grant_lease(self._lease_s)
         await self._store.put(self._key, self._value, self._lease)
         self._registered = True
         self._log.event('registration.made', lease=self._lease)
 
     async def withdraw(self):
-        """Removes the entry, as before a planned stop."""
+        """Removes the entry, before a planned stop."""
         if self._task is not None:
             self._task.cancel()
         if not self._lease:
@@ -103,6 +118,6 @@
             self._log.event('registration.not_withdrawn', reason=str(exc))
 
     def close(self):
-        """Stops renewing."""
+        """Stops the task; the lease lapses."""
         if self._task is not None:
             self._task.cancel()
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -9,10 +9,10 @@
 from dandelionwinch.control import _store
 from dandelionwinch import upstreams
 
-EVERYTHING = ''
-WATCH_S = 3.0
+ALL_KEYS = ''
+WATCH_TIMEOUT_S = 3.0
 COALESCE_S = 0.4
-INSTANCE_S = 0.01
+COALESCE_PER_INSTANCE_S = 0.01
 MAX_COALESCE_S = 1.2
 BACKOFF_S = 0.3
 MAX_BACKOFF_S = 1.5
@@ -22,20 +22,20 @@
     """A task that owns what is known from the store."""
 
     __slots__ = (
-        '_absence',
+        '_deregistrations',
         '_capacity',
         '_store_codec',
         '_gateway',
         '_log',
         '_loop',
-        '_reached_at',
+        '_store_reached_at',
         '_revision',
         '_rng',
         '_store',
         '_synced',
         '_task',
         'holder',
-        'members',
+        'registered',
         'on_config',
     )
 
@@ -49,13 +49,13 @@
         self._capacity = capacity
         self._log = log
         self._rng = rng
-        self._absence = upstreams.Absence()
+        self._deregistrations = upstreams.Absence()
         self._revision = 0
         self._task = None
         self._synced = False
-        self._reached_at = float('-inf')
+        self._store_reached_at = float('-inf')
         self.holder = ''
-        self.members = _registered.RegisteredInstances()
+        self.registered = _registered.RegisteredInstances()
         self.on_config = on_config
 
     def start(self):
@@ -69,7 +69,7 @@
 
     def age_s(self):
         """Returns the seconds since the store last answered."""
-        return self._loop.time() - self._reached_at
+        return self._loop.time() - self._store_reached_at
 
     @property
     def ready(self):
@@ -90,7 +90,7 @@
                 self._log.event('store.history_gone', reason=str(exc))
                 listed = False
             except _store.StoreFailed as exc:
-                self._failed(exc)
+                self._store_failed(exc)
                 await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
             except Exception:
@@ -99,31 +99,31 @@
                 listed = False
                 await asyncio.sleep(MAX_BACKOFF_S)
 
-    def _failed(self, exc):
+    def _store_failed(self, exc):
         if self._synced:
             self._log.event('store.lost', reason=str(exc))
         self._synced = False
-        self._absence.store_failed(self._loop.time())
+        self._deregistrations.store_failed(self._loop.time())
 
-    def _reached(self):
+    def _store_reached(self):
         if not self._synced:
             self._log.event('store.reached', revision=self._revision)
         self._synced = True
-        self._reached_at = self._loop.time()
+        self._store_reached_at = self._loop.time()
 
     async def _list(self):
-        listing = await self._store.list(EVERYTHING)
+        listing = await self._store.list(ALL_KEYS)
         now = self._loop.time()
         self._revision = listing.revision
-        self._reached()
+        self._store_reached()
         keys = {item.key for item in listing.items}
         if _order_leader.HOLDER_KEY not in keys:
             self.holder = ''
         # Announced changes are judged by the entries of their engines.
-        ordered = sorted(listing.items, key=_is_change)
+        ordered = sorted(listing.items, key=_is_role_change)
         for item in ordered:
             self._apply(item, now)
-        self._vanish(
+        self._remove_upstreams(
             [
                 belief.entry.id
                 for belief in self._gateway.fleet.beliefs
@@ -132,18 +132,20 @@
             ],
             now,
         )
-        for key in list(self.members.present):
+        for key in list(self.registered.entries):
             if key not in keys:
                 self._remove_instance(key)
-        self._settle(now)
+        self._after_response(now)
 
     async def _watch(self):
-        due_s = self._absence.next_due_s(self._loop.time())
-        wait_s = WATCH_S if due_s is None else min(WATCH_S, due_s)
-        listing = await self._store.watch(EVERYTHING, self._revision, wait_s)
+        due_s = self._deregistrations.next_due_s(self._loop.time())
+        wait_s = (
+            WATCH_TIMEOUT_S if due_s is None else min(WATCH_TIMEOUT_S, due_s)
+        )
+        listing = await self._store.watch(ALL_KEYS, self._revision, wait_s)
         now = self._loop.time()
         self._revision = max(self._revision, listing.revision)
-        self._reached()
+        self._store_reached()
         gone = []
         for item in listing.items:
             upstream_id = self._store_codec.upstream_of(item.key)
@@ -153,15 +155,17 @@
             gone = [name for name in gone if name != upstream_id]
             self._apply(item, now)
         if gone:
-            self._vanish(gone, now)
-        self._settle(now)
+            self._remove_upstreams(gone, now)
+        self._after_response(now)
         if listing.items:
             await asyncio.sleep(self._coalesce_s())
 
     def _coalesce_s(self):
         """Returns the pause before the next watch; each one is a call."""
-        instances = len(self.members.present)
-        return min(MAX_COALESCE_S, COALESCE_S + INSTANCE_S * instances)
+        instances = len(self.registered.entries)
+        return min(
+            MAX_COALESCE_S, COALESCE_S + COALESCE_PER_INSTANCE_S * instances
+        )
 
     def _apply(self, item, now):
         upstream_id = self._store_codec.upstream_of(item.key)
@@ -173,25 +177,25 @@
             self._apply_instance(item)
         elif item.key == _order_leader.HOLDER_KEY:
             self.holder = (item.value or b'').decode(errors='replace')
-        elif item.key == _order_leader.SIZE_KEY:
-            self._apply_size(item)
-        elif _is_change(item):
-            self._apply_change(item)
+        elif item.key == _order_leader.CAPACITY_KEY:
+            self._apply_capacity(item)
+        elif _is_role_change(item):
+            self._apply_role_change(item)
 
-    def _apply_size(self, item):
+    def _apply_capacity(self, item):
         text = (item.value or b'').decode(errors='replace')
         if text.isdigit():
-            self.members.note(float(text))
+            self.registered.set_stored_capacity(float(text))
 
-    def _apply_change(self, item):
+    def _apply_role_change(self, item):
         if item.value is None:
             return
-        name = item.key.removeprefix(_order_leader.CHANGE_PREFIX)
+        name = item.key.removeprefix(_order_leader.ROLE_CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
         belief = self._gateway.fleet.beliefs.get(name)
         if belief is None or belief.entry.role.value == role:
             return
-        self._gateway.changing(name, _order_leader.CHANGE_S)
+        self._gateway.changing(name, _order_leader.ROLE_CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
@@ -221,7 +225,7 @@
             return
         known = beliefs.get(name)
         before = known.entry if known else None
-        self._absence.returned(name)
+        self._deregistrations.returned(name)
         if beliefs.apply(entry):
             self._gateway.placer.forget(name)
         if before is not None and before.role is not entry.role:
@@ -242,20 +246,22 @@
                 revision=item.revision,
             )
 
-    def _vanish(self, upstream_ids, now):
+    def _remove_upstreams(self, upstream_ids, now):
         known = sum(
             1 for b in self._gateway.fleet.beliefs if b.gone_at is None
         )
-        for name in self._absence.vanished(upstream_ids, known, now):
-            self._gone(name, now, held=False)
+        for name in self._deregistrations.vanished(upstream_ids, known, now):
+            self._remove_upstream(name, now, held=False)
 
-    def _settle(self, now):
+    def _after_response(self, now):
         """Does what is due after each answer of the store."""
-        self._gateway.set_parts(self.members.parts(self._capacity, now))
-        for name in self._absence.due(now):
-            self._gone(name, now, held=True)
+        self._gateway.set_parts(
+            self.registered.instance_count(self._capacity, now)
+        )
+        for name in self._deregistrations.due(now):
+            self._remove_upstream(name, now, held=True)
 
-    def _gone(self, name, now, held):
+    def _remove_upstream(self, name, now, held):
         self._gateway.fleet.beliefs.remove(name, now)
         self._log.event('upstream.gone', upstream=name, held=held)
 
@@ -264,18 +270,18 @@
             self._remove_instance(item.key)
             return
         try:
-            presence = _registration.read_presence(item.value)
+            presence = _registration.read_entry(item.value)
         except _store.EntryInvalid as exc:
             self._log.event(
                 'instance.invalid', key=item.key, reason=exc.message
             )
             return
-        self.members.add(item.key, presence)
+        self.registered.add(item.key, presence)
 
     def _remove_instance(self, key):
-        if self.members.remove(key):
+        if self.registered.remove(key):
             self._log.event('instance.gone', key=key)
 
 
-def _is_change(item):
-    return item.key.startswith(_order_leader.CHANGE_PREFIX)
+def _is_role_change(item):
+    return item.key.startswith(_order_leader.ROLE_CHANGE_PREFIX)
