--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -1,4 +1,4 @@
-"""One instance: its gateway and its tasks, wired and stopped in order."""
+"""Wires the gateway and the tasks of one instance and shuts them down."""
 
 import asyncio
 import random
@@ -13,13 +13,23 @@
 from dandelionwinch import routes
 
 ANSWER_TTL_S = 2
+# A planned stop serves at least this long, as callers may still connect.
 MIN_DRAIN_S = 4.0
+# A planned stop ends this long before SIGKILL.
 STOP_MARGIN_S = 0.4
 DRAIN_POLL_S = 0.1
 
 
 class Instance:
-    """Serves callers, follows the store, and stops without a cut.
+    """Serves callers, follows the store, and drains before it stops.
+
+    Args:
+        loop: Event loop.
+        cfg: InstanceConfig.
+        store: Store.
+        wire_codec: WireCodec of the requests and responses.
+        store_codec: StoreCodec of the entries in the store.
+        log: EventLog, or None for a new one.
 
     Attributes:
         log: The EventLog.
@@ -84,19 +94,19 @@
         self._stopped = loop.create_future()
 
     def add_server(self, name, address, handler):
-        """Adds a server for questions; without an address there is none.
+        """Adds a server beside that for callers, such as a probe.
 
         Args:
-            name: Name in `ports`.
-            address: IP:PORT, or ''.
-            handler: Coroutine function of a request and its caller.
+            name: Key in `ports`.
+            address: IP:PORT to listen on, or '' to add no server.
+            handler: Coroutine function of a request and its connection.
         """
         if address:
             server = gateway.Server(self._loop, handler, routes.Limits())
             self._servers[name] = (address, server)
 
     async def start(self):
-        """Binds all addresses and starts all tasks."""
+        """Starts all tasks and listens on all addresses."""
         for finding in self._cfg.findings:
             self.log.event('settings.finding', finding=finding)
         self._gateway.start()
@@ -125,22 +135,30 @@
 
     @property
     def ready(self):
-        """Tells whether callers should be sent here."""
+        """Whether callers should be sent to this instance."""
         return self._sync.ready and not self._stopping
 
     def addresses_for(self, data_centre, region):
-        """Returns addresses for a caller, and seconds that they hold."""
-        present = {p.name: p for p in self._sync.registered.entries.values()}
-        present.pop(self._entry.name, None)
+        """Returns the nearest instances to a caller.
+
+        Args:
+            data_centre: Data centre of the caller, or ''.
+            region: Region of the caller, or ''.
+
+        Returns:
+            Addresses, and the seconds for which they are valid.
+        """
+        entries = {e.name: e for e in self._sync.registered.entries.values()}
+        entries.pop(self._entry.name, None)
         if self.ready:
-            present[self._entry.name] = self._entry
+            entries[self._entry.name] = self._entry
         found = addresses.nearest(
-            present.values(), data_centre, region, self._rng
+            entries.values(), data_centre, region, self._rng
         )
         return found, min(ANSWER_TTL_S, self._cfg.max_ttl_s)
 
     def metrics(self):
-        """Returns all metrics as text."""
+        """Returns all metrics in the text format of Prometheus."""
         return self._gateway.metrics.text()
 
     def stop(self):
@@ -149,10 +167,10 @@
             return
         self._stopping = True
         self.log.event('instance.stopping', active=self._gateway.active)
-        self._loop.create_task(self._leave())
+        self._loop.create_task(self._drain())
 
-    async def _leave(self):
-        """Ends a planned stop once nothing is left, or time is over."""
+    async def _drain(self):
+        """Ends a planned stop when no request is left or time is up."""
         began = self._loop.time()
         self._loop.create_task(self._registration.withdraw())
         self._loop.create_task(self._order_leader.resign())
@@ -160,15 +178,15 @@
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
             await asyncio.sleep(DRAIN_POLL_S)
-            lingered = self._loop.time() - began > MIN_DRAIN_S
-            if lingered and not self._gateway.active:
+            drained_s = self._loop.time() - began
+            if drained_s > MIN_DRAIN_S and not self._gateway.active:
                 break
         self.log.event('instance.stopped', active=self._gateway.active)
         self.log.flush()
         self._stopped.set_result(None)
 
     async def wait(self):
-        """Returns when a planned stop has ended."""
+        """Waits until a planned stop has ended."""
         await self._stopped
 
     def close(self):
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -172,7 +172,7 @@
         if change is None:
             return
         self._next_order_at = now + SETTLE_S
-        belief = self._gateway.fleet.beliefs.get(change.upstream_id)
+        upstream = self._gateway.fleet.beliefs.get(change.upstream_id)
         await self._store.put(
             ROLE_CHANGE_PREFIX + change.upstream_id,
             change.role.value.encode(),
@@ -181,8 +181,8 @@
         self._gateway.changing(change.upstream_id, ROLE_CHANGE_S)
         await asyncio.sleep(ANNOUNCE_WAIT_S)
         await self._renew()
-        if self._gateway.fleet.beliefs.serves(belief):
-            await self._send(belief, change)
+        if self._gateway.fleet.beliefs.serves(upstream):
+            await self._send(upstream, change)
         self._next_order_at = self._loop.time() + SETTLE_S
 
     def _plan_role_change(self, now):
@@ -191,9 +191,9 @@
             if service.engine is None:
                 continue
             engines = [
-                b
-                for b in fleet.beliefs.serving(service.name)
-                if b.changing_until <= now
+                upstream
+                for upstream in fleet.beliefs.serving(service.name)
+                if upstream.changing_until <= now
             ]
             change = dispatch.plan_role(
                 engines, self._gateway.placer.answers(now)
@@ -202,9 +202,9 @@
                 return change
         return None
 
-    async def _send(self, belief, change):
+    async def _send(self, upstream, change):
         sent = await self._sender.send(
-            belief, change, self._leadership.token, self._may_order
+            upstream, change, self._leadership.token, self._may_order
         )
         self._log.event(
             'orders.sent',
--- a/dandelionwinch/control/_store.py
+++ b/dandelionwinch/control/_store.py
@@ -1,4 +1,4 @@
-"""What the control tasks need of a store, and how it fails."""
+"""Interfaces of the store and of the codec of its entries."""
 
 import typing
 
@@ -8,19 +8,19 @@
 
 
 class StoreFailed(errors.DandelionwinchError):
-    """The store gave no answer; what was asked may have been done."""
+    """The store did not respond; the call may have taken effect."""
 
     code = 'store_failed'
 
 
 class StoreRefused(StoreFailed):
-    """The store says that it did nothing."""
+    """The store refused the call, which had no effect."""
 
     code = 'store_refused'
 
 
 class HistoryGone(StoreFailed):
-    """The store no longer has the changes that were asked for."""
+    """The store no longer has the requested changes."""
 
     code = 'history_gone'
 
@@ -32,20 +32,20 @@
 
 
 class LeaseEnded(StoreFailed):
-    """There is no such lease."""
+    """The lease has expired or was revoked."""
 
     code = 'lease_ended'
 
 
 class EntryInvalid(errors.DandelionwinchError):
-    """A value in the store cannot be read."""
+    """A value in the store can't be decoded."""
 
     code = 'entry_invalid'
 
 
 @attrs.frozen
 class Item:
-    """A key with its value, or one that was deleted (value None)."""
+    """A key and its value, which is None if the key was deleted."""
 
     key: str
     value: bytes | None
@@ -54,36 +54,61 @@
 
 @attrs.frozen
 class Listing:
-    """Items or changes, and the store's revision with them."""
+    """Items or changes, and the revision of the store that they reflect."""
 
     items: tuple[Item, ...]
     revision: int
 
 
 class Store(typing.Protocol):
-    """Calls of a store; each may raise StoreFailed."""
+    """Calls to a store; each of them can raise StoreFailed."""
 
     async def list(self, prefix):
-        """Returns a Listing; a watch from its revision misses nothing."""
+        """Returns a Listing whose revision is a gapless start for a watch."""
 
     async def watch(self, prefix, after, wait_s):
-        """Returns a Listing of changes, or raises HistoryGone."""
+        """Returns a Listing of the changes after a revision.
+
+        Args:
+            prefix: Prefix of the keys.
+            after: Revision.
+            wait_s: Seconds to wait for a change.
+
+        Raises:
+            HistoryGone: If the store no longer has these changes.
+        """
 
     async def grant_lease(self, ttl_s):
         """Returns the id of a new lease."""
 
     async def renew_lease(self, lease):
-        """Renews a lease, or raises LeaseEnded."""
+        """Renews a lease.
+
+        Raises:
+            LeaseEnded: If it has expired or was revoked.
+        """
 
     async def revoke_lease(self, lease):
-        """Ends a lease and removes its keys."""
+        """Revokes a lease and deletes its keys."""
 
     async def put(self, key, value, lease=0, revision=None):
-        """Writes a key and returns the revision, or raises Conflict."""
+        """Writes a key and returns the revision of the change.
+
+        Args:
+            key: The key.
+            value: Bytes.
+            lease: Id of the lease that the key is attached to, 0 for none.
+            revision: Revision that the key must have, 0 if it must not
+                exist, None for any.
+
+        Raises:
+            Conflict: If the key has another revision.
+            LeaseEnded: If the lease has expired or was revoked.
+        """
 
 
 class StoreCodec(typing.Protocol):
-    """Reads what operators and upstreams write into the store.
+    """Decodes what operators and upstreams write into the store.
 
     Attributes:
         config_key: Key of the configuration.
@@ -92,7 +117,7 @@
     config_key: str
 
     def upstream_of(self, key):
-        """Returns the id of the upstream whose entry a key is, or None."""
+        """Returns the id of the upstream whose entry has a key, or None."""
 
     def key_of(self, upstream_id):
         """Returns the key of an upstream's entry."""
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -1,4 +1,4 @@
-"""Follows the store and keeps routes, upstreams and instances in step."""
+"""Follows the store and applies its changes to the local instance."""
 
 import asyncio
 import traceback
@@ -11,6 +11,7 @@
 
 ALL_KEYS = ''
 WATCH_TIMEOUT_S = 3.0
+# Pause between watches, so that each one returns several changes.
 COALESCE_S = 0.4
 COALESCE_PER_INSTANCE_S = 0.01
 MAX_COALESCE_S = 1.2
@@ -19,24 +20,39 @@
 
 
 class StoreSync:
-    """A task that owns what is known from the store."""
+    """A task that watches the store and applies each change.
+
+    Args:
+        loop: Event loop.
+        store: Store.
+        store_codec: StoreCodec of the entries.
+        gateway: Gateway that gets routes, upstreams and the instance count.
+        capacity: Capacity of the local instance.
+        log: EventLog.
+        rng: Random number generator.
+        on_config: Function that is called with each new RouteTable.
+
+    Attributes:
+        holder: Name of the holder of the order lease, or ''.
+        registered: The RegisteredInstances.
+    """
 
     __slots__ = (
-        '_deregistrations',
         '_capacity',
-        '_store_codec',
+        '_deregistration_guard',
         '_gateway',
         '_log',
         '_loop',
-        '_store_reached_at',
         '_revision',
         '_rng',
         '_store',
+        '_store_codec',
+        '_store_reached_at',
         '_synced',
         '_task',
         'holder',
-        'registered',
         'on_config',
+        'registered',
     )
 
     def __init__(
@@ -49,7 +65,7 @@
         self._capacity = capacity
         self._log = log
         self._rng = rng
-        self._deregistrations = upstreams.Absence()
+        self._deregistration_guard = upstreams.Absence()
         self._revision = 0
         self._task = None
         self._synced = False
@@ -73,7 +89,7 @@
 
     @property
     def ready(self):
-        """Tells whether routes are known."""
+        """Whether a route table was received."""
         return self._gateway.fleet.table is not None
 
     async def _run(self):
@@ -94,7 +110,7 @@
                 await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
             except Exception:
-                # Beliefs must not stop being followed for one bad answer.
+                # One malformed response must not end the watch.
                 self._log.event('store.fault', trace=traceback.format_exc())
                 listed = False
                 await asyncio.sleep(MAX_BACKOFF_S)
@@ -103,7 +119,7 @@
         if self._synced:
             self._log.event('store.lost', reason=str(exc))
         self._synced = False
-        self._deregistrations.store_failed(self._loop.time())
+        self._deregistration_guard.store_failed(self._loop.time())
 
     def _store_reached(self):
         if not self._synced:
@@ -119,16 +135,17 @@
         keys = {item.key for item in listing.items}
         if _order_leader.HOLDER_KEY not in keys:
             self.holder = ''
-        # Announced changes are judged by the entries of their engines.
+        # An announced role change is compared with its engine's entry, so
+        # entries come first.
         ordered = sorted(listing.items, key=_is_role_change)
         for item in ordered:
             self._apply(item, now)
         self._remove_upstreams(
             [
-                belief.entry.id
-                for belief in self._gateway.fleet.beliefs
-                if belief.gone_at is None
-                and self._store_codec.key_of(belief.entry.id) not in keys
+                upstream.entry.id
+                for upstream in self._gateway.fleet.beliefs
+                if upstream.gone_at is None
+                and self._store_codec.key_of(upstream.entry.id) not in keys
             ],
             now,
         )
@@ -138,7 +155,7 @@
         self._after_response(now)
 
     async def _watch(self):
-        due_s = self._deregistrations.next_due_s(self._loop.time())
+        due_s = self._deregistration_guard.next_due_s(self._loop.time())
         wait_s = (
             WATCH_TIMEOUT_S if due_s is None else min(WATCH_TIMEOUT_S, due_s)
         )
@@ -161,7 +178,11 @@
             await asyncio.sleep(self._coalesce_s())
 
     def _coalesce_s(self):
-        """Returns the pause before the next watch; each one is a call."""
+        """Returns the pause before the next watch.
+
+        It grows with the number of instances, as all of them call the
+        store.
+        """
         instances = len(self.registered.entries)
         return min(
             MAX_COALESCE_S, COALESCE_S + COALESCE_PER_INSTANCE_S * instances
@@ -192,8 +213,8 @@
             return
         name = item.key.removeprefix(_order_leader.ROLE_CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
-        belief = self._gateway.fleet.beliefs.get(name)
-        if belief is None or belief.entry.role.value == role:
+        upstream = self._gateway.fleet.beliefs.get(name)
+        if upstream is None or upstream.entry.role.value == role:
             return
         self._gateway.changing(name, _order_leader.ROLE_CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
@@ -223,14 +244,18 @@
             self._log.event('upstream.invalid', finding=exc.message)
             beliefs.remove(name, now)
             return
-        known = beliefs.get(name)
-        before = known.entry if known else None
-        self._deregistrations.returned(name)
+        upstream = beliefs.get(name)
+        previous = upstream.entry if upstream else None
+        self._deregistration_guard.returned(name)
         if beliefs.apply(entry):
             self._gateway.placer.forget(name)
-        if before is not None and before.role is not entry.role:
+        if previous is not None and previous.role is not entry.role:
             self._gateway.changed(name)
-        if before is None or (before.ready, before.role, before.born) != (
+        if previous is None or (
+            previous.ready,
+            previous.role,
+            previous.born,
+        ) != (
             entry.ready,
             entry.role,
             entry.born,
@@ -247,18 +272,22 @@
             )
 
     def _remove_upstreams(self, upstream_ids, now):
-        known = sum(
-            1 for b in self._gateway.fleet.beliefs if b.gone_at is None
+        registered = sum(
+            1
+            for upstream in self._gateway.fleet.beliefs
+            if upstream.gone_at is None
         )
-        for name in self._deregistrations.vanished(upstream_ids, known, now):
+        for name in self._deregistration_guard.vanished(
+            upstream_ids, registered, now
+        ):
             self._remove_upstream(name, now, held=False)
 
     def _after_response(self, now):
-        """Does what is due after each answer of the store."""
+        """Applies what is due after each response of the store."""
         self._gateway.set_parts(
             self.registered.instance_count(self._capacity, now)
         )
-        for name in self._deregistrations.due(now):
+        for name in self._deregistration_guard.due(now):
             self._remove_upstream(name, now, held=True)
 
     def _remove_upstream(self, name, now, held):
@@ -270,13 +299,13 @@
             self._remove_instance(item.key)
             return
         try:
-            presence = _registration.read_entry(item.value)
+            entry = _registration.read_entry(item.value)
         except _store.EntryInvalid as exc:
             self._log.event(
                 'instance.invalid', key=item.key, reason=exc.message
             )
             return
-        self.registered.add(item.key, presence)
+        self.registered.add(item.key, entry)
 
     def _remove_instance(self, key):
         if self.registered.remove(key):
