--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -178,8 +178,8 @@
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
             await asyncio.sleep(DRAIN_POLL_S)
-            drained_s = self._loop.time() - began
-            if drained_s > MIN_DRAIN_S and not self._gateway.active:
+            drained = self._loop.time() - began > MIN_DRAIN_S
+            if drained and not self._gateway.active:
                 break
         self.log.event('instance.stopped', active=self._gateway.active)
         self.log.flush()
