--- a/dandelionwinch/membership/__init__.py
+++ b/dandelionwinch/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances live, by heartbeats and the platform's list."""
+"""Tracks which instances are alive, by heartbeats and the platform list."""
 
 from dandelionwinch.membership._departures import Departures
 from dandelionwinch.membership._departures import populated_data_centres
--- a/dandelionwinch/membership/_departures.py
+++ b/dandelionwinch/membership/_departures.py
@@ -1,13 +1,13 @@
-"""Tells which processes the platform has surely ended."""
+"""Decides which processes have certainly ended."""
 
 
 class Departures:
-    """Observes how long instances have been off the platform's list.
+    """Records how long instances have been absent from the platform's list.
 
-    Silence proves nothing: a paused process may wake up. The list
-    lags, so a process counts as gone only after it was absent from
-    every list read during ``margin_s`` seconds, a time that also
-    covers the worst case of connections that it left behind.
+    Missing heartbeats prove nothing, as a paused process can resume. The list
+    lags, so a process counts as gone only after it was absent from every
+    list read during ``margin_s`` seconds. That time also covers the longest
+    life of connections that the process left open.
     """
 
     __slots__ = ('_absent_since', '_incarnations', '_margin_s', '_names')
@@ -19,7 +19,7 @@
         self._incarnations = {}
 
     def list_read(self, names):
-        """Takes in a list that was read.
+        """Records a list that was read.
 
         Args:
             names: Names of the listed instances.
@@ -29,21 +29,21 @@
             self._absent_since.pop(name, None)
 
     def list_unavailable(self):
-        """Notes that the list was not reached, so nothing is proved."""
+        """Records that the list could not be read, so proves no absence."""
         self._names = None
         self._absent_since.clear()
 
     def saw_incarnation(self, name, incarnation):
-        """Notes the incarnation that runs under a name."""
-        held = self._incarnations.get(name, 0)
-        self._incarnations[name] = max(held, incarnation)
+        """Records an incarnation that runs under a name."""
+        highest = self._incarnations.get(name, 0)
+        self._incarnations[name] = max(highest, incarnation)
 
     def is_gone(self, name, incarnation, now):
-        """Tells whether a process is certainly not running.
+        """Returns whether a process is certainly not running.
 
         Args:
             name: Name of the instance.
-            incarnation: Which process of that name is meant.
+            incarnation: Incarnation of its process.
             now: Time in seconds.
         """
         if self._incarnations.get(name, 0) > incarnation:
@@ -53,15 +53,15 @@
         since = self._absent_since.setdefault(name, now)
         return now - since >= self._margin_s
 
-    def remaining(self, members, now):
-        """Returns the members whose process is not certainly gone."""
+    def remaining(self, peers, now):
+        """Returns the PeerStates whose process is not certainly gone."""
         return [
-            known
-            for known in members
-            if not self.is_gone(known.name, known.member.incarnation, now)
+            peer
+            for peer in peers
+            if not self.is_gone(peer.name, peer.member.incarnation, now)
         ]
 
 
-def populated_data_centres(members):
-    """Returns the names of the data centres that have members."""
-    return sorted({known.data_centre for known in members})
+def populated_data_centres(peers):
+    """Returns the sorted names of the data centres that have instances."""
+    return sorted({peer.data_centre for peer in peers})
--- a/dandelionwinch/membership/_freshness.py
+++ b/dandelionwinch/membership/_freshness.py
@@ -1,70 +1,80 @@
-"""Tells whether this instance may have missed a configuration."""
+"""Decides whether this instance may have missed a configuration."""
 
 import math
 
-LONGEST_AGE_S = 1e9
+# Sent instead of an infinite age.
+MAX_AGE_S = 1e9
 
 
 class Freshness:
-    """Ages of the last certain contact with the store and each data centre.
+    """Ages of the last contact with the store and with each data centre.
 
-    An age is taken over from a peer's reply only, counted from before
-    the request was sent, so it is never too low. An instance that has
-    heard neither from the store nor from a majority of data centres for
-    ``cut_off_s`` seconds may hold an old configuration.
+    An age is adopted only from a peer's reply and counts from before the
+    request was sent, so it is never too low. An instance that has had
+    contact neither with the store nor with a majority of data centres for
+    ``cut_off_s`` seconds may have an old configuration.
     """
 
-    __slots__ = ('_cut_off_s', '_data_centres', '_store_at', 'data_centre')
+    __slots__ = (
+        '_contacted_at',
+        '_cut_off_s',
+        '_store_read_at',
+        'data_centre',
+    )
 
     def __init__(self, data_centre, cut_off_s):
         self.data_centre = data_centre
         self._cut_off_s = cut_off_s
-        self._data_centres = {}
-        self._store_at = -math.inf
+        self._contacted_at = {}
+        self._store_read_at = -math.inf
 
-    def store_read(self, asked_at):
-        """Notes a read of the newest revision, by its start time."""
-        self._store_at = max(self._store_at, asked_at)
+    def store_read(self, sent_at):
+        """Records a read of the newest revision.
 
-    def merge_ages(self, data_centre, asked_at, digest):
-        """Notes a peer's reply.
+        Args:
+            sent_at: Time before the request was sent.
+        """
+        self._store_read_at = max(self._store_read_at, sent_at)
+
+    def merge_ages(self, data_centre, sent_at, digest):
+        """Merges the ages of a peer's reply.
 
         Args:
             data_centre: Data centre of the peer.
-            asked_at: Time before the request was sent.
-            digest: The reply, whose revision is held here as well.
+            sent_at: Time before the request was sent.
+            digest: The reply; this instance has its revision, too.
         """
-        self._note(data_centre, asked_at)
+        self._record_contact(data_centre, sent_at)
         for item in digest.data_centres:
-            self._note(item.data_centre, asked_at - item.age_s)
-        self.store_read(asked_at - digest.store_age_s)
+            self._record_contact(item.data_centre, sent_at - item.age_s)
+        self.store_read(sent_at - digest.store_age_s)
 
-    def _note(self, data_centre, moment):
-        self._data_centres[data_centre] = max(
-            moment, self._data_centres.get(data_centre, moment)
+    def _record_contact(self, data_centre, contacted_at):
+        self._contacted_at[data_centre] = max(
+            contacted_at, self._contacted_at.get(data_centre, contacted_at)
         )
 
     def store_age(self, now):
-        """Returns seconds since the store surely had nothing newer."""
-        return now - self._store_at
+        """Returns seconds since the store certainly had no newer revision."""
+        return now - self._store_read_at
 
     def data_centre_ages(self, now):
-        """Returns the age of the last contact by data centre."""
+        """Returns the seconds since the last contact, by data centre."""
         ages = {
             data_centre: now - at
-            for data_centre, at in self._data_centres.items()
+            for data_centre, at in self._contacted_at.items()
         }
         ages[self.data_centre] = 0.0
         return ages
 
     def add_ages(self, digest, now):
-        """Puts the ages into a digest for a peer."""
-        digest.store_age_s = min(LONGEST_AGE_S, self.store_age(now))
+        """Adds the ages to a digest for a peer."""
+        digest.store_age_s = min(MAX_AGE_S, self.store_age(now))
         for data_centre, age_s in self.data_centre_ages(now).items():
             digest.data_centres.add(data_centre=data_centre, age_s=age_s)
 
     def is_cut_off(self, data_centres, now):
-        """Tells whether new work must be refused.
+        """Returns whether new work must be refused.
 
         Args:
             data_centres: Names of the data centres that have instances.
@@ -73,9 +83,9 @@
         if self.store_age(now) <= self._cut_off_s:
             return False
         ages = self.data_centre_ages(now)
-        met = sum(
+        contacted = sum(
             1
             for data_centre in data_centres
             if ages.get(data_centre, math.inf) <= self._cut_off_s
         )
-        return 2 * met <= len(data_centres)
+        return 2 * contacted <= len(data_centres)
--- a/dandelionwinch/membership/_gossip.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -1,44 +1,50 @@
-"""Heartbeats that spread by gossip, and the view that follows."""
+"""Group membership by heartbeats that spread by gossip."""
 
 import attrs
 
 from dandelionwinch.peers import peer_pb2
 from dandelionwinch import utils
 
+# Peers per exchange.
 FANOUT = 3
 FANOUT_IN_LARGE_DATA_CENTRES = 2
-LARGE_DATA_CENTRE = 16
-SPEAKERS_PER_DATA_CENTRE = 2
-CROSS_EVERY_BEATS = 4
-FAR_PULSES = 16
-FAR_PATIENCE = 5.0
-BEAT_SLACK = 0.5
+LARGE_DATA_CENTRE_INSTANCES = 16
+DELEGATES_PER_DATA_CENTRE = 2
+# A delegate exchanges with other data centres every so many heartbeats.
+REMOTE_EXCHANGE_HEARTBEATS = 4
+# Instances of third data centres in one digest.
+REMOTE_PULSES = 16
+# Heartbeats from other data centres arrive later.
+REMOTE_SUSPECT_RATIO = 5.0
+# A heartbeat may be early by this part of an interval, as ticks are jittered.
+HEARTBEAT_SLACK_RATIO = 0.5
 
 
 def member_id(name):
-    """Returns the short identifier of an instance's name."""
+    """Returns the identifier that stands for an instance's name in pulses."""
     return utils.stable_hash('member', name)
 
 
 @attrs.define
 class PeerState:
-    """What is known of one instance.
+    """The last known state of one instance.
 
     Attributes:
-        member: Name, data centre and addresses.
-        heard_at: Time at which its heartbeat last advanced.
-        leaves: Odd while it says that it is leaving; each change of
-            mind raises the number.
-        listed: Whether the platform's list has it; None before the
-            list was read.
-        listed_leaving: Whether the platform says that it is leaving.
-        jobs: Jobs that it serves.
-        revision: Configuration revision that it holds.
+        member: Name, data centre, addresses and incarnation.
+        heartbeat: Counter that the instance advances.
+        leave_count: Odd while the instance is leaving; leave and
+            cancel_leave increment it.
+        heartbeat_at: Time at which its heartbeat last advanced.
+        listed: Whether it is on the platform's list; None before the list
+            was read.
+        listed_leaving: Whether the platform's list marks it as leaving.
+        jobs: Number of jobs that it serves.
+        revision: Configuration revision that it has.
     """
 
     member: peer_pb2.Member
-    beat: int = 0
-    leaves: int = 0
+    heartbeat: int = 0
+    leave_count: int = 0
     heartbeat_at: float = float('-inf')
     listed: bool | None = None
     listed_leaving: bool = False
@@ -47,8 +53,8 @@
 
     @property
     def leaving(self):
-        """Whether it takes no new work for long."""
-        return self.leaves % 2 == 1 or self.listed_leaving
+        """Whether it is leaving and will soon accept no new work."""
+        return self.leave_count % 2 == 1 or self.listed_leaving
 
     @property
     def name(self):
@@ -62,22 +68,32 @@
 
 
 class Membership:
-    """The aggregate of all known instances, without clock or socket.
+    """The states of all known instances, without clock or I/O.
 
-    Each instance advances its own heartbeat and exchanges digests with
-    a few peers of its data centre; two speakers of a data centre also exchange
-    with other data centres. A higher incarnation replaces a lower one.
+    Each instance advances its own heartbeat and exchanges digests with a few
+    peers of its data centre. The delegates of a data centre also exchange
+    digests with other data centres. A higher incarnation replaces a lower
+    one.
+
+    Args:
+        member: Member message of the local instance.
+        timing: TimingSettings.
+        rng: Random number generator.
+        seeds: Peer addresses to contact while no peer is known.
+
+    Attributes:
+        local: PeerState of the local instance.
     """
 
     __slots__ = (
-        '_asked',
-        '_beat_s',
-        '_beats',
         '_by_id',
         '_forget_s',
-        '_last_beat',
+        '_heartbeat_s',
+        '_heartbeats',
+        '_last_heartbeat',
         '_last_tick',
-        '_paused_since',
+        '_paused_at',
+        '_requested_ids',
         '_rng',
         '_seeds',
         '_suspect_s',
@@ -90,270 +106,301 @@
         self._rng = rng
         self._seeds = list(seeds)
         self._suspect_s = timing.suspect_s
-        self._beat_s = timing.beat_s
-        self._last_beat = float('-inf')
+        self._heartbeat_s = timing.beat_s
+        self._last_heartbeat = float('-inf')
         self._forget_s = timing.forget_s
-        self._beats = 0
-        self._asked = set()
+        self._heartbeats = 0
+        self._requested_ids = set()
         self._last_tick = None
-        self._paused_since = None
+        self._paused_at = None
 
     def tick(self, now):
-        """Advances the own heartbeat.
+        """Advances the local heartbeat when it is due.
 
         Returns:
             Peer addresses to exchange digests with.
         """
-        self._note_pause(now)
+        self._detect_pause(now)
         self._last_tick = now
         self.local.heartbeat_at = now
         self._forget(now)
-        due_s = self._beat_s * (self._pace() - BEAT_SLACK)
-        if now - self._last_beat < due_s:
+        due_s = self._heartbeat_s * (
+            self._slowdown_factor() - HEARTBEAT_SLACK_RATIO
+        )
+        if now - self._last_heartbeat < due_s:
             return []
-        self._last_beat = now
-        self._beats += 1
-        self.local.beat += 1
+        self._last_heartbeat = now
+        self._heartbeats += 1
+        self.local.heartbeat += 1
         return self._targets(now)
 
-    def _pace(self):
-        """Returns how much slower a large data centre beats, from 1 up.
+    def _slowdown_factor(self):
+        """Returns the factor by which heartbeats slow down, at least 1.
 
-        A digest grows with the data centre, so its rate falls, and what an
-        instance sends in a second stays within bounds.
+        A digest grows with the data centre, so digests are sent less often
+        in a large one. This bounds the bytes that an instance sends per
+        second.
         """
         data_centre = self.local.data_centre
         size = sum(
-            1 for k in self._by_id.values() if k.data_centre == data_centre
+            1
+            for peer in self._by_id.values()
+            if peer.data_centre == data_centre
         )
-        return max(1.0, size / LARGE_DATA_CENTRE)
+        return max(1.0, size / LARGE_DATA_CENTRE_INSTANCES)
 
-    def _note_pause(self, now):
+    def _detect_pause(self, now):
         if self._last_tick is None:
             return
         if now - self._last_tick > self._suspect_s:
-            self._paused_since = now
+            self._paused_at = now
 
     def is_suspect(self, now):
-        """Tells whether this instance was paused and met no peer since."""
-        late = (
+        """Returns whether this instance was paused and got no digest since."""
+        paused = (
             self._last_tick is not None
             and now - self._last_tick > self._suspect_s
         )
-        return late or self._paused_since is not None
+        return paused or self._paused_at is not None
 
     def _forget(self, now):
-        over = [
+        expired = [
             key
-            for key, known in self._by_id.items()
-            if known is not self.local
-            and now - known.heartbeat_at > self._forget_s
-            and not known.listed
+            for key, peer in self._by_id.items()
+            if peer is not self.local
+            and now - peer.heartbeat_at > self._forget_s
+            and not peer.listed
         ]
-        for key in over:
+        for key in expired:
             del self._by_id[key]
 
     def _targets(self, now):
-        others = [k for k in self._by_id.values() if k is not self.local]
-        near = [k for k in others if k.data_centre == self.local.data_centre]
-        large = self._pace() > 1
+        others = [
+            peer for peer in self._by_id.values() if peer is not self.local
+        ]
+        local_peers = [
+            peer
+            for peer in others
+            if peer.data_centre == self.local.data_centre
+        ]
+        large = self._slowdown_factor() > 1
         fanout = FANOUT_IN_LARGE_DATA_CENTRES if large else FANOUT
-        chosen = self._sample(near, fanout)
-        if not near or self._speaks(now):
-            if self._beats % CROSS_EVERY_BEATS == 1 or not near:
-                chosen += self._one_of_each_data_centre(others)
-        addresses = [known.member.peer_address for known in chosen]
+        chosen = self._sample(local_peers, fanout)
+        if not local_peers or self._is_delegate(now):
+            if (
+                self._heartbeats % REMOTE_EXCHANGE_HEARTBEATS == 1
+                or not local_peers
+            ):
+                chosen += self._one_per_data_centre(others)
+        addresses = [peer.member.peer_address for peer in chosen]
         if not addresses:
             addresses = self._sample(self._seeds, FANOUT)
         return addresses
 
-    def _sample(self, items, most):
-        return self._rng.sample(items, min(most, len(items)))
+    def _sample(self, items, count):
+        return self._rng.sample(items, min(count, len(items)))
 
-    def _one_of_each_data_centre(self, others):
+    def _one_per_data_centre(self, others):
         by_data_centre = {}
-        for known in others:
-            if known.data_centre != self.local.data_centre:
-                by_data_centre.setdefault(known.data_centre, []).append(known)
+        for peer in others:
+            if peer.data_centre != self.local.data_centre:
+                by_data_centre.setdefault(peer.data_centre, []).append(peer)
         data_centres = self._sample(sorted(by_data_centre), FANOUT)
         return [
             self._rng.choice(by_data_centre[data_centre])
             for data_centre in data_centres
         ]
 
-    def _speaks(self, now):
+    def _is_delegate(self, now):
         return self.local in self.delegates(self.local.data_centre, now)
 
     def delegates(self, data_centre, now):
-        """Returns the instances that act for a data centre.
+        """Returns the instances that act on behalf of a data centre.
 
-        They watch the store's configuration and talk to other data centres.
+        They poll the store for configurations and exchange digests with
+        other data centres.
         """
-        ranked = sorted(
-            (k for k in self.live(now) if k.data_centre == data_centre),
-            key=lambda k: utils.stable_hash('speaker', k.name),
+        ranking = sorted(
+            (
+                peer
+                for peer in self.live(now)
+                if peer.data_centre == data_centre
+            ),
+            key=lambda peer: utils.stable_hash('speaker', peer.name),
         )
-        return ranked[:SPEAKERS_PER_DATA_CENTRE]
+        return ranking[:DELEGATES_PER_DATA_CENTRE]
 
     def digest(self, now, to_data_centre=None):
-        """Makes the part of a digest that this aggregate owns.
+        """Builds the membership part of a digest.
+
+        It has all instances of the local and of the receiver's data centre,
+        and a random sample of the others, so that its size grows with a data
+        centre and not with the number of all instances.
 
-        Members of the own and the peer's data centre are told of each time.
-        Of others a few are drawn, so that a digest grows with a data centre
-        and not with all instances.
+        Args:
+            now: Time in seconds.
+            to_data_centre: Data centre of the receiver, or None if unknown.
         """
         digest = peer_pb2.Digest(sender=self.local.member)
-        near_data_centres = (self.local.data_centre, to_data_centre)
-        far = []
-        for key, known in self._by_id.items():
-            if key in self._asked:
-                digest.introduced.append(known.member)
-            if now - known.heartbeat_at > self._forget_s:
+        included = (self.local.data_centre, to_data_centre)
+        remote_peers = []
+        for key, peer in self._by_id.items():
+            if key in self._requested_ids:
+                digest.introduced.append(peer.member)
+            if now - peer.heartbeat_at > self._forget_s:
                 continue
-            if known.data_centre in near_data_centres:
-                digest.pulses.append(_pulse(key, known))
+            if peer.data_centre in included:
+                digest.pulses.append(_pulse(key, peer))
             else:
-                far.append((key, known))
-        for key, known in self._sample(far, FAR_PULSES):
-            digest.pulses.append(_pulse(key, known))
-        self._asked.clear()
+                remote_peers.append((key, peer))
+        for key, peer in self._sample(remote_peers, REMOTE_PULSES):
+            digest.pulses.append(_pulse(key, peer))
+        self._requested_ids.clear()
         return digest
 
     def merge(self, digest, now):
-        """Takes in a digest of a peer.
+        """Merges a digest of a peer.
 
         Returns:
-            Identifiers of instances that are to be introduced.
+            Identifiers of unknown instances, whose Member messages are to be
+            requested from the peer.
         """
-        self._paused_since = None
+        self._paused_at = None
         self._introduce(digest.sender)
         for member in digest.introduced:
             self._introduce(member)
-        self._asked.update(digest.asked)
+        self._requested_ids.update(digest.asked)
         unknown = []
         for pulse in digest.pulses:
-            known = self._by_id.get(pulse.id)
-            if known is None:
+            peer = self._by_id.get(pulse.id)
+            if peer is None:
                 unknown.append(pulse.id)
-            elif known is not self.local:
-                _advance(known, pulse, now)
+            elif peer is not self.local:
+                _advance(peer, pulse, now)
         return unknown
 
     def _introduce(self, member):
         key = member_id(member.name)
-        known = self._by_id.get(key)
-        if known is None:
+        peer = self._by_id.get(key)
+        if peer is None:
             self._by_id[key] = PeerState(member)
-        elif known is not self.local and (
-            member.incarnation > known.member.incarnation
+        elif peer is not self.local and (
+            member.incarnation > peer.member.incarnation
         ):
-            known.member = member
-            known.beat = 0
-            known.leaves = 0
+            peer.member = member
+            peer.heartbeat = 0
+            peer.leave_count = 0
 
     def merge_list(self, listed):
-        """Takes in the platform's list, which lags.
+        """Merges the platform's list of instances, which lags.
 
         Args:
-            listed: Tuple of ListedInstance.
+            listed: Sequence of ListedInstance.
         """
         names = set()
-        for line in listed:
-            names.add(line.name)
-            key = member_id(line.name)
-            known = self._by_id.get(key)
-            if known is None:
-                known = PeerState(_member_of(line))
-                self._by_id[key] = known
-            known.listed = True
-            known.listed_leaving = line.leaving
-        for known in self._by_id.values():
-            if known.name not in names:
-                known.listed = False
+        for entry in listed:
+            names.add(entry.name)
+            key = member_id(entry.name)
+            peer = self._by_id.get(key)
+            if peer is None:
+                peer = PeerState(_member_of(entry))
+                self._by_id[key] = peer
+            peer.listed = True
+            peer.listed_leaving = entry.leaving
+        for peer in self._by_id.values():
+            if peer.name not in names:
+                peer.listed = False
 
     def leave(self):
-        """Marks this instance as leaving."""
-        if self.local.leaves % 2 == 0:
-            self.local.leaves += 1
+        """Marks the local instance as leaving."""
+        if self.local.leave_count % 2 == 0:
+            self.local.leave_count += 1
 
     def cancel_leave(self):
-        """Takes the leaving mark back."""
-        if self.local.leaves % 2 == 1:
-            self.local.leaves += 1
+        """Removes the leaving mark of the local instance."""
+        if self.local.leave_count % 2 == 1:
+            self.local.leave_count += 1
 
     def live(self, now):
-        """Returns the instances heard of recently, in order of name."""
-        pace = self._pace()
+        """Returns the instances with a recent heartbeat, sorted by name."""
+        slowdown_factor = self._slowdown_factor()
         return sorted(
-            (k for k in self._by_id.values() if self._is_live(k, now, pace)),
-            key=lambda known: known.name,
+            (
+                peer
+                for peer in self._by_id.values()
+                if self._is_live(peer, now, slowdown_factor)
+            ),
+            key=lambda peer: peer.name,
         )
 
-    def _is_live(self, known, now, pace):
-        """Tells whether a member was heard of; far ones take longer."""
-        patience_s = self._suspect_s
-        if known.data_centre != self.local.data_centre:
-            patience_s *= FAR_PATIENCE
-        return now - known.heartbeat_at <= patience_s * pace
+    def _is_live(self, peer, now, slowdown_factor):
+        """Returns whether an instance's heartbeat is recent.
+
+        Heartbeats from other data centres take longer.
+        """
+        suspect_s = self._suspect_s
+        if peer.data_centre != self.local.data_centre:
+            suspect_s *= REMOTE_SUSPECT_RATIO
+        return now - peer.heartbeat_at <= suspect_s * slowdown_factor
 
     def all_instances(self):
-        """Returns all known instances in order of name."""
-        return sorted(self._by_id.values(), key=lambda known: known.name)
+        """Returns all known instances, sorted by name."""
+        return sorted(self._by_id.values(), key=lambda peer: peer.name)
 
     def maybe_alive(self, now):
-        """Returns instances that may still run: live or listed."""
-        pace = self._pace()
+        """Returns the instances that are live or on the platform's list."""
+        slowdown_factor = self._slowdown_factor()
         return [
-            known
-            for known in self.all_instances()
-            if known.listed or self._is_live(known, now, pace)
+            peer
+            for peer in self.all_instances()
+            if peer.listed or self._is_live(peer, now, slowdown_factor)
         ]
 
     def data_centre_at(self, peer_address):
         """Returns the data centre of the instance at an address, or None."""
-        for known in self._by_id.values():
-            if known.member.peer_address == peer_address:
-                return known.data_centre
+        for peer in self._by_id.values():
+            if peer.member.peer_address == peer_address:
+                return peer.data_centre
         return None
 
     def usable(self, now):
-        """Returns the instances that new jobs may be sent to."""
-        return [known for known in self.live(now) if not known.leaving]
+        """Returns the live instances that are not leaving."""
+        return [peer for peer in self.live(now) if not peer.leaving]
 
 
-def _pulse(key, known):
+def _pulse(key, peer):
     return peer_pb2.Pulse(
         id=key,
-        incarnation=known.member.incarnation,
-        beat=known.beat,
-        leaves=known.leaves,
-        revision=known.revision,
-        jobs=known.jobs,
+        incarnation=peer.member.incarnation,
+        beat=peer.heartbeat,
+        leaves=peer.leave_count,
+        revision=peer.revision,
+        jobs=peer.jobs,
     )
 
 
-def _advance(known, pulse, now):
-    if pulse.incarnation < known.member.incarnation:
+def _advance(peer, pulse, now):
+    if pulse.incarnation < peer.member.incarnation:
         return
-    if pulse.incarnation > known.member.incarnation:
-        known.member.incarnation = pulse.incarnation
-        known.beat = 0
-        known.leaves = 0
-        known.revision = 0
-    known.leaves = max(known.leaves, pulse.leaves)
-    known.revision = max(known.revision, pulse.revision)
-    if pulse.beat > known.beat:
-        known.beat = pulse.beat
-        known.heartbeat_at = now
-        known.jobs = pulse.jobs
-
-
-def _member_of(line):
+    if pulse.incarnation > peer.member.incarnation:
+        peer.member.incarnation = pulse.incarnation
+        peer.heartbeat = 0
+        peer.leave_count = 0
+        peer.revision = 0
+    peer.leave_count = max(peer.leave_count, pulse.leaves)
+    peer.revision = max(peer.revision, pulse.revision)
+    if pulse.beat > peer.heartbeat:
+        peer.heartbeat = pulse.beat
+        peer.heartbeat_at = now
+        peer.jobs = pulse.jobs
+
+
+def _member_of(entry):
     return peer_pb2.Member(
-        name=line.name,
-        data_centre=line.data_centre,
-        client_address=line.client_address,
-        peer_address=line.peer_address,
-        operator_address=line.operator_address,
+        name=entry.name,
+        data_centre=entry.data_centre,
+        client_address=entry.client_address,
+        peer_address=entry.peer_address,
+        operator_address=entry.operator_address,
         weight=1.0,
     )
