--- a/dandelionwinch/platform/_boot.py
+++ b/dandelionwinch/platform/_boot.py
@@ -15,7 +15,7 @@
     code = 'boot_settings_invalid'
 
 
-class _Reader:
+class _FieldReader:
     """Reads fields of nested tables; collects findings with places."""
 
     def __init__(self, data):
@@ -52,7 +52,7 @@
         SettingsInvalid: If it names no address of the store.
     """
     try:
-        reader = _Reader(tomllib.loads(text))
+        reader = _FieldReader(tomllib.loads(text))
     except tomllib.TOMLDecodeError as exc:
         raise SettingsInvalid(f'the file is not TOML: {exc}') from exc
     get = reader.get
--- a/dandelionwinch/platform/_deploy.py
+++ b/dandelionwinch/platform/_deploy.py
@@ -3,8 +3,8 @@
 import pathlib
 import tomllib
 
-TOP = {'build': str, 'packages': list, 'roles': dict}
-ROLE = {
+TOP_LEVEL_TYPES = {'build': str, 'packages': list, 'roles': dict}
+ROLE_TYPES = {
     'run': str,
     'on': str,
     'share': (int, float),
@@ -15,7 +15,7 @@
     'template': str,
     'env': dict,
 }
-SERVED = ('edge', 'control_plane', 'registry')
+SERVABLE = ('edge', 'control_plane', 'registry')
 FORBIDDEN_PROGRAMS = ('env', 'npx', 'sh', 'bash')
 MAX_ROLES = 2
 
@@ -26,13 +26,13 @@
         data = tomllib.loads(pathlib.Path(path).read_text())
     except (OSError, tomllib.TOMLDecodeError) as exc:
         return [f'the file cannot be read: {exc}']
-    findings = list(_fields(data, TOP, ''))
+    findings = list(_check_fields(data, TOP_LEVEL_TYPES, ''))
     if 'build' not in data:
         findings.append('field "build" is missing')
     roles = data.get('roles')
     roles = roles if isinstance(roles, dict) else {}
     for name, role in roles.items():
-        findings += _role(role, f'roles.{name}')
+        findings += _check_role(role, f'roles.{name}')
     served = [
         item
         for role in roles.values()
@@ -45,17 +45,17 @@
         findings.append(f'more than {MAX_ROLES} roles')
     findings += [
         f'more than one role serves "{item}"'
-        for item in SERVED
+        for item in SERVABLE
         if served.count(item) > 1
     ]
     return findings
 
 
-def _role(role, place):
+def _check_role(role, place):
     if not isinstance(role, dict):
         yield f'field "{place}" is not a table'
         return
-    yield from _fields(role, ROLE, f'{place}.')
+    yield from _check_fields(role, ROLE_TYPES, f'{place}.')
     for name in ('run', 'on'):
         if name not in role:
             yield f'field "{place}.{name}" is missing'
@@ -68,17 +68,17 @@
     if program in FORBIDDEN_PROGRAMS:
         yield f'field "{place}.run" starts a helper, "{program}"'
     for item in role.get('serves', ()):
-        if item not in SERVED:
+        if item not in SERVABLE:
             yield f'field "{place}.serves" has "{item}"'
     port, _, page = str(role.get('metrics', '1/x')).partition('/')
     if not port.isdigit() or not page:
         yield f'field "{place}.metrics" is not PORT/PATH'
 
 
-def _fields(data, kinds, place):
+def _check_fields(data, types, place):
     for name, value in data.items():
-        kind = kinds.get(name)
-        if kind is None:
+        type_ = types.get(name)
+        if type_ is None:
             yield f'field "{place}{name}" is not known'
-        elif not isinstance(value, kind):
+        elif not isinstance(value, type_):
             yield f'field "{place}{name}" is of another type'
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -20,7 +20,7 @@
 _JSON = (('Content-Type', 'application/json'),)
 
 
-class Entry:
+class PlatformProcess:
     """An instance with the servers and signals that the platform expects."""
 
     def __init__(self, loop, cfg, path, metrics_port=METRICS_PORT, log=None):
@@ -36,9 +36,9 @@
             log,
         )
         add = self.instance.add_server
-        add('readiness', cfg.readiness, self._ask_ready)
-        add('directory', cfg.directory, self._resolve)
-        add('metrics', f'{cfg.ip}:{metrics_port}', self._metrics)
+        add('readiness', cfg.readiness, self._answer_readiness)
+        add('directory', cfg.directory, self._answer_resolve)
+        add('metrics', f'{cfg.ip}:{metrics_port}', self._answer_metrics)
 
     async def start(self):
         """Starts the instance and takes signals."""
@@ -46,13 +46,13 @@
         self._loop.add_signal_handler(signal.SIGTERM, self.instance.stop)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
 
-    async def _ask_ready(self, incoming, caller):
+    async def _answer_readiness(self, incoming, caller):
         caller.answer(200 if self.instance.ready else 503, (), b'')
 
-    async def _metrics(self, incoming, caller):
+    async def _answer_metrics(self, incoming, caller):
         caller.answer(200, (), self.instance.metrics())
 
-    async def _resolve(self, incoming, caller):
+    async def _answer_resolve(self, incoming, caller):
         query = urllib.parse.parse_qs(incoming.head.target.partition('?')[2])
         found, ttl_s = self.instance.addresses_for(
             query.get('zone', [''])[0], query.get('region', [''])[0]
@@ -80,7 +80,7 @@
 
 async def _serve(path):
     loop = asyncio.get_running_loop()
-    entry = Entry(loop, _boot.load(path), path)
+    entry = PlatformProcess(loop, _boot.load(path), path)
     await entry.start()
     gc.collect()
     gc.freeze()
--- a/dandelionwinch/platform/_store.py
+++ b/dandelionwinch/platform/_store.py
@@ -14,7 +14,11 @@
 
 
 class Store:
-    """Calls of the store's protocol, one method each."""
+    """Client of the store's protocol, with one method per call.
+
+    Attributes:
+        calls: Number of calls.
+    """
 
     __slots__ = ('_pool', 'calls')
 
@@ -30,7 +34,7 @@
         """Returns a Listing of all items with a prefix.
 
         Its revision is that of the first page, so that a watch from it
-        misses nothing.
+        misses no change made while the later pages were read.
         """
         items, after, revision = [], '', None
         while True:
@@ -38,7 +42,7 @@
             if after:
                 query['after'] = after
             data = await self._call('GET', _path('kv-range', query))
-            items += [_item(row) for row in data['items']]
+            items += [_parse_item(item) for item in data['items']]
             if revision is None:
                 revision = data['storeRevision']
             if not data.get('hasMore') or not data['items']:
@@ -46,10 +50,15 @@
             after = items[-1].key
 
     async def watch(self, prefix, after, wait_s):
-        """Returns a Listing of changes after a revision.
+        """Returns a Listing of the changes after a revision.
+
+        Args:
+            prefix: Prefix of the keys.
+            after: Revision.
+            wait_s: Seconds to wait for a change.
 
         Raises:
-            HistoryGone: If that history is no longer available.
+            HistoryGone: If the store no longer has these changes.
         """
         query = {
             'prefix': prefix,
@@ -59,7 +68,7 @@
         data = await self._call(
             'GET', _path('kv-watch', query), wait_s + WATCH_MARGIN_S
         )
-        items = tuple(_item(row) for row in data['events'])
+        items = tuple(_parse_item(item) for item in data['events'])
         return control.Listing(items, data['storeRevision'])
 
     async def grant_lease(self, ttl_s):
@@ -72,15 +81,15 @@
         await self._call('POST', f'/-/kv-keep/{lease}')
 
     async def revoke_lease(self, lease):
-        """Ends a lease and removes its keys; a lost call is repeated."""
-        for tries_left in reversed(range(REVOKE_ATTEMPTS)):
+        """Revokes a lease and deletes its keys; retries a failed call."""
+        for attempts_left in reversed(range(REVOKE_ATTEMPTS)):
             try:
                 await self._call('DELETE', f'/-/kv-lease-end/{lease}')
                 return
             except control.LeaseEnded:
                 return
             except control.StoreFailed:
-                if not tries_left:
+                if not attempts_left:
                     raise
 
     async def put(self, key, value, lease=0, revision=None):
@@ -89,21 +98,22 @@
         Args:
             key: The key.
             value: Bytes.
-            lease: Lease that the key ends with, 0 for none.
-            revision: Revision that it must have now, None for any.
+            lease: Id of the lease that the key is attached to, 0 for none.
+            revision: Revision that the key must have, 0 if it must not
+                exist, None for any.
 
         Returns:
             The revision of the change.
         """
-        row = {
+        item = {
             'key': key,
             'value': base64.b64encode(value).decode(),
             'lease': lease,
         }
-        on = []
+        preconditions = []
         if revision is not None:
-            on.append({'key': key, 'revision': revision})
-        body = {'precondition': on, 'puts': [row], 'remove': []}
+            preconditions.append({'key': key, 'revision': revision})
+        body = {'precondition': preconditions, 'puts': [item], 'remove': []}
         data = await self._call('POST', '/-/kv-txn', body=body)
         return data['revision']
 
@@ -115,7 +125,7 @@
             headers.append(('Content-Type', 'application/json'))
         request = gateway.request_bytes(method, path, headers, data)
         status, text = await self._exchange(request, timeout_s)
-        return _judge(status, text, path)
+        return _parse_response(status, text, path)
 
     async def _exchange(self, request, timeout_s):
         try:
@@ -135,7 +145,7 @@
         return head.status, text
 
 
-def _judge(status, text, path):
+def _parse_response(status, text, path):
     if status == 410:
         raise control.HistoryGone(f'410 to "{path}"')
     if status == 412:
@@ -156,8 +166,8 @@
     return f'/-/{call}?' + urllib.parse.urlencode(query)
 
 
-def _item(row):
-    if row.get('deleted'):
-        return control.Item(row['key'], None, row['revision'])
-    value = base64.b64decode(row['value'])
-    return control.Item(row['key'], value, row['revision'])
+def _parse_item(item):
+    if item.get('deleted'):
+        return control.Item(item['key'], None, item['revision'])
+    value = base64.b64decode(item['value'])
+    return control.Item(item['key'], value, item['revision'])
--- a/dandelionwinch/platform/_store_codec.py
+++ b/dandelionwinch/platform/_store_codec.py
@@ -1,4 +1,4 @@
-"""The operators' configuration and the upstreams' entries in the store."""
+"""Decodes the platform's store: configuration and entries of upstreams."""
 
 import json
 
@@ -17,42 +17,45 @@
 }
 
 
-def _object(value, place):
+def _read_object(value, place):
     try:
-        found = json.loads(value)
+        data = json.loads(value)
     except ValueError as exc:
         raise control.EntryInvalid(f'"{place}" is not JSON: {exc}') from exc
-    if not isinstance(found, dict):
+    if not isinstance(data, dict):
         raise control.EntryInvalid(f'"{place}" is not an object')
-    return found
+    return data
 
 
-def _field(data, name, kinds, place):
+def _read_field(data, name, types, place):
     value = data.get(name)
-    if isinstance(value, bool) or not isinstance(value, kinds):
+    if isinstance(value, bool) or not isinstance(value, types):
         raise control.EntryInvalid(f'field "{name}" of "{place}" is {value!r}')
     return value
 
 
 def read_upstream(upstream_id, value):
-    """Reads an upstream's entry.
+    """Decodes an upstream's entry.
 
     Args:
-        upstream_id: The id under which it stands.
+        upstream_id: Id of the upstream, from the key of the entry.
         value: Bytes of the entry.
 
+    Returns:
+        The Entry.
+
     Raises:
         EntryInvalid: If a field is missing or of another type.
     """
     place = UPSTREAM_PREFIX + upstream_id
-    data = _object(value, place)
-    address = _field(data, 'address', str, place)
+    data = _read_object(value, place)
+    address = _read_field(data, 'address', str, place)
     host, _, port = address.rpartition(':')
     if not host or not port.isdigit():
         raise control.EntryInvalid(
             f'field "address" of "{place}" is {address!r}'
         )
-    state = _field(data, 'state', str, place)
+    state = _read_field(data, 'state', str, place)
     if state not in STATES:
         raise control.EntryInvalid(f'field "state" of "{place}" is {state!r}')
     born = data.get('born', 0)
@@ -65,7 +68,7 @@
         )
     role = upstreams.Role.PLAIN
     if 'phase' in data:
-        phase = _field(data, 'phase', str, place)
+        phase = _read_field(data, 'phase', str, place)
         role = _ROLES.get(phase)
         if role is None:
             raise control.EntryInvalid(
@@ -73,47 +76,54 @@
             )
     return upstreams.Entry(
         upstream_id,
-        _field(data, 'service', str, place),
+        _read_field(data, 'service', str, place),
         address,
-        _field(data, 'zone', str, place),
+        _read_field(data, 'zone', str, place),
         born,
         state == READY,
         role,
-        _field(data, 'slots', int, place),
+        _read_field(data, 'slots', int, place),
         cold_ms / 1e3,
     )
 
 
 def read_config(value):
-    """Reads the operators' configuration.
+    """Decodes the operators' configuration.
+
+    Args:
+        value: Bytes of the configuration.
 
     Returns:
-        A RouteTable.
+        The RouteTable.
 
     Raises:
         EntryInvalid: If a field is missing or of another type.
     """
     try:
-        return _table(_object(value, CONFIG_KEY))
+        return _read_table(_read_object(value, CONFIG_KEY))
     except (AttributeError, TypeError, ValueError) as exc:
         raise control.EntryInvalid(
             f'"{CONFIG_KEY}" is malformed: {exc}'
         ) from exc
 
 
-def _table(data):
-    version = _field(data, 'version', int, CONFIG_KEY)
-    found = [_route(item) for item in _field(data, 'routes', list, CONFIG_KEY)]
+def _read_table(data):
+    version = _read_field(data, 'version', int, CONFIG_KEY)
+    table_routes = [
+        _read_route(item)
+        for item in _read_field(data, 'routes', list, CONFIG_KEY)
+    ]
     services = [
-        _service(item) for item in _field(data, 'services', list, CONFIG_KEY)
+        _read_service(item)
+        for item in _read_field(data, 'services', list, CONFIG_KEY)
     ]
-    limits = _limits(data.get('limits') or {})
-    return routes.RouteTable(version, found, services, limits)
+    limits = _read_limits(data.get('limits') or {})
+    return routes.RouteTable(version, table_routes, services, limits)
 
 
-def _route(item):
+def _read_route(item):
     place = f'{CONFIG_KEY}.routes.{item.get("name")}'
-    kind = _field(item, 'kind', str, place)
+    kind = _read_field(item, 'kind', str, place)
     streaming = kind == 'streaming'
     repeat = routes.Repeat.ONCE
     if kind == 'idempotent':
@@ -121,71 +131,71 @@
     elif streaming and item.get('resumable') is True:
         repeat = routes.Repeat.RESUMABLE
     return routes.Route(
-        _field(item, 'name', str, place),
-        _field(item, 'host', str, place),
-        _field(item, 'prefix', str, place),
+        _read_field(item, 'name', str, place),
+        _read_field(item, 'host', str, place),
+        _read_field(item, 'prefix', str, place),
         repeat,
         streaming,
-        _field(item, 'timeoutMs', (int, float), place) / 1e3,
-        _field(item, 'targetLatencyMs', (int, float), place) / 1e3,
-        _field(item, 'priority', int, place),
-        _field(item, 'maxAttempts', int, place),
-        _shares(item, place),
+        _read_field(item, 'timeoutMs', (int, float), place) / 1e3,
+        _read_field(item, 'targetLatencyMs', (int, float), place) / 1e3,
+        _read_field(item, 'priority', int, place),
+        _read_field(item, 'maxAttempts', int, place),
+        _read_shares(item, place),
         bool(item.get('stickySessions')),
         float(item.get('targetGapMs') or 0) / 1e3,
     )
 
 
-def _shares(item, place):
+def _read_shares(item, place):
     split = item.get('trafficSplit')
     if not split:
-        return (routes.Share(_field(item, 'service', str, place), 1.0),)
+        return (routes.Share(_read_field(item, 'service', str, place), 1.0),)
     return tuple(
         routes.Share(
-            _field(share, 'service', str, place),
-            float(_field(share, 'weight', (int, float), place)),
+            _read_field(share, 'service', str, place),
+            float(_read_field(share, 'weight', (int, float), place)),
         )
         for share in split
     )
 
 
-def _service(item):
+def _read_service(item):
     place = f'{CONFIG_KEY}.services.{item.get("name")}'
     engine = item.get('engine')
     return routes.Service(
-        _field(item, 'name', str, place),
-        _field(item, 'maxConnections', int, place),
+        _read_field(item, 'name', str, place),
+        _read_field(item, 'maxConnections', int, place),
         item.get('healthPath') or '/',
-        _engine(engine, place) if engine else None,
+        _read_engine(engine, place) if engine else None,
     )
 
 
-def _engine(item, place):
+def _read_engine(item, place):
     return routes.Engine(
-        _field(item, 'slots', int, place),
-        _field(item, 'kvTokens', int, place),
-        _field(item, 'kvTokenBytes', (int, float), place),
+        _read_field(item, 'slots', int, place),
+        _read_field(item, 'kvTokens', int, place),
+        _read_field(item, 'kvTokenBytes', (int, float), place),
         float(item.get('handleTtlS') or 5.0),
         float(item.get('roleSwitchS') or 3.0),
     )
 
 
-def _limits(item):
+def _read_limits(item):
     default = routes.Limits()
     return routes.Limits(
         int(item.get('maxHeaderBytes') or default.max_header_bytes),
         int(item.get('maxBodyBytes') or default.max_body_bytes),
-        _seconds(item.get('headerTimeoutMs'), default.header_timeout_s),
-        _seconds(item.get('idleTimeoutMs'), default.idle_timeout_s),
+        _read_seconds(item.get('headerTimeoutMs'), default.header_timeout_s),
+        _read_seconds(item.get('idleTimeoutMs'), default.idle_timeout_s),
     )
 
 
-def _seconds(value_ms, default_s):
+def _read_seconds(value_ms, default_s):
     return value_ms / 1e3 if value_ms else default_s
 
 
 class StoreCodec:
-    """Keys and values of the platform in the product's types."""
+    """Decodes keys and values of the platform's store."""
 
     __slots__ = ()
 
@@ -195,7 +205,7 @@
 
     @staticmethod
     def upstream_of(key):
-        """Returns the id of the upstream whose entry a key is, or None."""
+        """Returns the id of the upstream whose entry has a key, or None."""
         if key.startswith(UPSTREAM_PREFIX):
             return key.removeprefix(UPSTREAM_PREFIX)
         return None
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -1,4 +1,4 @@
-"""Headers of callers' requests and of upstreams' answers."""
+"""Encodes and decodes the platform's HTTP messages."""
 
 import json
 
@@ -19,7 +19,7 @@
 PRIORITY = 'x-dandelionwinch-request-priority'
 LAST_EVENT_ID = 'last-event-id'
 
-# Only the system may say these to an upstream.
+# Removed from callers' requests: only the system may set them for an upstream.
 SYSTEM_ONLY = frozenset(
     (
         TARGET,
@@ -39,15 +39,22 @@
 
 
 class WireCodec:
-    """The platform's headers in the gateway's types."""
+    """Translates between the platform's messages and the gateway's types."""
 
     __slots__ = ()
 
     def parse_request(self, head, body):
-        """Returns the Inquiry of a caller's request.
+        """Parses a caller's request.
+
+        Args:
+            head: Head of the request.
+            body: Bytes of the body.
+
+        Returns:
+            Inquiry.
 
         Raises:
-            BadRequest: If it bears no id.
+            BadRequest: If the request has no id.
         """
         request_id = head.header(REQUEST_ID)
         if not request_id:
@@ -55,7 +62,7 @@
         headers = tuple(
             pair for pair in head.end_to_end() if pair[0] not in SYSTEM_ONLY
         )
-        timeout_ms = _number(head.header(TIMEOUT_MS))
+        timeout_ms = _parse_int(head.header(TIMEOUT_MS))
         return gateway.Inquiry(
             request_id,
             head.method,
@@ -63,27 +70,32 @@
             headers,
             body,
             None if timeout_ms is None else timeout_ms / 1e3,
-            _prompt(head),
-            _number(head.header(LAST_EVENT_ID)),
+            _parse_prompt(head),
+            _parse_int(head.header(LAST_EVENT_ID)),
         )
 
-    def upstream_headers(self, inquiry, sending):
-        """Returns the headers of a request to an upstream."""
-        pairs = list(inquiry.headers)
-        pairs.append((TARGET, sending.upstream_id))
-        pairs.append((TIMEOUT_MS, str(max(1, int(sending.left_s * 1e3)))))
-        if sending.last_event is not None:
-            pairs.append((LAST_EVENT_ID, str(sending.last_event)))
-        if sending.urgency is not None:
-            pairs.append((PRIORITY, str(sending.urgency)))
-        if sending.prefill_only:
+    def upstream_headers(self, req, params):
+        """Returns the headers of a request to an upstream, as pairs.
+
+        Args:
+            req: Inquiry of the caller.
+            params: Sending of this attempt.
+        """
+        pairs = list(req.headers)
+        pairs.append((TARGET, params.upstream_id))
+        pairs.append((TIMEOUT_MS, str(max(1, int(params.left_s * 1e3)))))
+        if params.last_event is not None:
+            pairs.append((LAST_EVENT_ID, str(params.last_event)))
+        if params.urgency is not None:
+            pairs.append((PRIORITY, str(params.urgency)))
+        if params.prefill_only:
             pairs.append((STAGE, 'prefill'))
-        if sending.source:
-            pairs.append((KV_SOURCE, sending.source))
+        if params.source:
+            pairs.append((KV_SOURCE, params.source))
         return pairs
 
     def parse_reply(self, head):
-        """Returns the Reply of a response head."""
+        """Parses the head of an upstream's response to a Reply."""
         return gateway.Reply(
             head.header(REQUEST_ID),
             bool(head.header(NOT_EXECUTED)),
@@ -91,7 +103,7 @@
         )
 
     def parse_kv_handle(self, body):
-        """Returns the handle of a prefilled prompt, or ''."""
+        """Returns the KV cache handle in a prefill response, or ''."""
         try:
             value = json.loads(body)
         except ValueError:
@@ -100,7 +112,17 @@
         return handle if isinstance(handle, str) else ''
 
     def order_request(self, role_order, holder, token, sequence):
-        """Returns method, path, headers and body of an order."""
+        """Builds the request that carries a role order to an engine.
+
+        Args:
+            role_order: RoleOrder.
+            holder: Name of the instance that holds the order lease.
+            token: Fencing token.
+            sequence: Number of orders that the engine must have accepted.
+
+        Returns:
+            Method, path, headers and body.
+        """
         body = {
             'op': 'phase',
             'phase': role_order.role.value,
@@ -116,15 +138,20 @@
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
     def report_request(self, upstream_id):
-        """Returns method, path and headers of a question for a report."""
+        """Returns method, path and headers of a request for a report."""
         headers = [('Host', 'engine'), (TARGET, upstream_id)]
         return 'GET', '/-/report', headers
 
     def accepted_order_count(self, body):
-        """Returns the number of orders a report counts, None if busy.
+        """Returns how many orders an engine accepted.
+
+        The result is None if the engine is busy or its report is malformed.
 
-        The `sequence` of an entry in the store counts heartbeats; only
-        that of a report counts orders.
+        Only the `sequence` of a report counts orders; that of an entry in
+        the store counts heartbeats.
+
+        Args:
+            body: Body of the report.
         """
         try:
             value = json.loads(body)
@@ -136,24 +163,26 @@
         return count if type(count) is int else None
 
     def come_back(self, wait_s):
-        """Returns the headers that say when to come back."""
+        """Returns the headers that tell a caller when to retry."""
         return [('Retry-After', f'{wait_s:.2f}')]
 
 
-def _number(text):
+def _parse_int(text):
     return int(text) if text.isdigit() else None
 
 
-def _prompt(head):
+def _parse_prompt(head):
     usage = head.header(TOKEN_USAGE).split(',')
     if len(usage) != 2 or not all(item.strip().isdigit() for item in usage):
         return None
-    parts = []
+    blocks = []
     for item in head.header(PROMPT_PREFIX).split(','):
-        part_id, _, tokens = item.strip().partition(':')
-        if part_id and tokens.isdigit():
-            parts.append((part_id, int(tokens)))
-    # A part is cached by model; the same id may stand for two of them.
+        block_id, _, tokens = item.strip().partition(':')
+        if block_id and tokens.isdigit():
+            blocks.append((block_id, int(tokens)))
+    # Engines cache blocks per model, and two models may use the same id.
     model = head.header(MODEL)
-    named = tuple((f'{model}/{name}', tokens) for name, tokens in parts)
-    return dispatch.Prompt(int(usage[0]), int(usage[1]), named)
+    named_blocks = tuple(
+        (f'{model}/{block_id}', tokens) for block_id, tokens in blocks
+    )
+    return dispatch.Prompt(int(usage[0]), int(usage[1]), named_blocks)
