--- a/dandelionwinch/platform/__init__.py
+++ b/dandelionwinch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Everything that only translates between the product and the platform."""
+"""Adapts dandelionwinch to the platform that runs it."""
 
 from dandelionwinch.platform._boot import load as load_settings
 from dandelionwinch.platform._deploy import check as check_deploy
--- a/dandelionwinch/platform/__main__.py
+++ b/dandelionwinch/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs an instance on the platform."""
+"""Runs an instance on the platform: `python -m dandelionwinch.platform`."""
 
 from dandelionwinch.platform import _entry
 
--- a/dandelionwinch/platform/_boot.py
+++ b/dandelionwinch/platform/_boot.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives to each process."""
+"""Reads the settings file that the platform gives to each process."""
 
 import pathlib
 import tomllib
@@ -6,50 +6,51 @@
 from dandelionwinch import control
 from dandelionwinch import errors
 
-VARIABLE = 'DANDELIONWINCH_BOOT'
+SETTINGS_VARIABLE = 'DANDELIONWINCH_BOOT'
 
 
 class SettingsInvalid(errors.DandelionwinchError):
-    """The settings file cannot be used."""
+    """The settings file can't be used."""
 
     code = 'boot_settings_invalid'
 
 
 class _FieldReader:
-    """Reads fields of nested tables; collects findings with places."""
+    """Reads fields of nested tables and collects findings with their paths."""
 
     def __init__(self, data):
         self._data = data
         self.findings = []
 
-    def get(self, path, kind, default):
+    def get(self, path, type_, default):
         value = self._data
         for name in path.split('.'):
             value = value.get(name) if isinstance(value, dict) else None
         if value is None:
             self.findings.append(f'field "{path}" is missing')
             return default
-        if kind is float and type(value) is int:
+        if type_ is float and type(value) is int:
             return float(value)
-        if not isinstance(value, kind) or isinstance(value, bool):
+        if not isinstance(value, type_) or isinstance(value, bool):
             self.findings.append(
-                f'field "{path}" is not of type "{kind.__name__}"'
+                f'field "{path}" is not of type "{type_.__name__}"'
             )
             return default
         return value
 
 
 def read(text):
-    """Reads a settings file.
+    """Parses a settings file.
 
     Args:
-        text: The file's text.
+        text: Text of the file.
 
     Returns:
-        InstanceConfig, with findings for fields that got defaults.
+        InstanceConfig, with findings for the fields that got defaults.
 
     Raises:
-        SettingsInvalid: If it names no address of the store.
+        SettingsInvalid: If it is not TOML, or has no address of the store or
+            no name of the instance.
     """
     try:
         reader = _FieldReader(tomllib.loads(text))
--- a/dandelionwinch/platform/_deploy.py
+++ b/dandelionwinch/platform/_deploy.py
@@ -1,4 +1,4 @@
-"""Checks the file that deploys the product on the platform."""
+"""Checks the file that deploys dandelionwinch on the platform."""
 
 import pathlib
 import tomllib
@@ -21,7 +21,7 @@
 
 
 def check(path):
-    """Returns findings about a deploy file, each with its place."""
+    """Returns the findings about a deploy file, each with its field."""
     try:
         data = tomllib.loads(pathlib.Path(path).read_text())
     except (OSError, tomllib.TOMLDecodeError) as exc:
@@ -75,10 +75,10 @@
         yield f'field "{place}.metrics" is not PORT/PATH'
 
 
-def _check_fields(data, types, place):
+def _check_fields(data, types, prefix):
     for name, value in data.items():
         type_ = types.get(name)
         if type_ is None:
-            yield f'field "{place}{name}" is not known'
+            yield f'field "{prefix}{name}" is not known'
         elif not isinstance(value, type_):
-            yield f'field "{place}{name}" is of another type'
+            yield f'field "{prefix}{name}" is of another type'
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -1,4 +1,4 @@
-"""Runs one instance with the platform's settings, store and questions."""
+"""Runs one instance as a process on the platform."""
 
 import asyncio
 import gc
@@ -21,7 +21,18 @@
 
 
 class PlatformProcess:
-    """An instance with the servers and signals that the platform expects."""
+    """An instance with the servers and signal handlers of the platform.
+
+    Args:
+        loop: Event loop.
+        cfg: InstanceConfig.
+        path: Path of the settings file, for reload().
+        metrics_port: Port of the metrics server, 0 for any.
+        log: EventLog, or None for a new one.
+
+    Attributes:
+        instance: The Instance.
+    """
 
     def __init__(self, loop, cfg, path, metrics_port=METRICS_PORT, log=None):
         self._loop = loop
@@ -37,11 +48,11 @@
         )
         add = self.instance.add_server
         add('readiness', cfg.readiness, self._answer_readiness)
-        add('directory', cfg.directory, self._answer_resolve)
+        add('directory', cfg.directory, self._answer_addresses)
         add('metrics', f'{cfg.ip}:{metrics_port}', self._answer_metrics)
 
     async def start(self):
-        """Starts the instance and takes signals."""
+        """Starts the instance and installs the signal handlers."""
         await self.instance.start()
         self._loop.add_signal_handler(signal.SIGTERM, self.instance.stop)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
@@ -52,7 +63,7 @@
     async def _answer_metrics(self, incoming, caller):
         caller.answer(200, (), self.instance.metrics())
 
-    async def _answer_resolve(self, incoming, caller):
+    async def _answer_addresses(self, incoming, caller):
         query = urllib.parse.parse_qs(incoming.head.target.partition('?')[2])
         found, ttl_s = self.instance.addresses_for(
             query.get('zone', [''])[0], query.get('region', [''])[0]
@@ -64,7 +75,10 @@
         caller.answer(200, _JSON, body.encode())
 
     def reload(self):
-        """Reads the settings again; addresses stay until a restart."""
+        """Checks the settings file and logs whether it has changed.
+
+        Changes take effect at the next restart.
+        """
         log = self.instance.log
         try:
             cfg = _boot.load(self._path)
@@ -80,19 +94,19 @@
 
 async def _serve(path):
     loop = asyncio.get_running_loop()
-    entry = PlatformProcess(loop, _boot.load(path), path)
-    await entry.start()
+    process = PlatformProcess(loop, _boot.load(path), path)
+    await process.start()
     gc.collect()
     gc.freeze()
-    await entry.instance.wait()
-    entry.close()
+    await process.instance.wait()
+    process.close()
 
 
 def main():
-    """Runs an instance with the settings that the platform names."""
-    path = os.environ.get(_boot.VARIABLE)
+    """Runs an instance with the settings file named in DANDELIONWINCH_BOOT."""
+    path = os.environ.get(_boot.SETTINGS_VARIABLE)
     if not path:
-        sys.exit(f'variable "{_boot.VARIABLE}" is not set')
+        sys.exit(f'variable "{_boot.SETTINGS_VARIABLE}" is not set')
     try:
         uvloop.run(_serve(path))
     except _boot.SettingsInvalid as exc:
--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -1,4 +1,4 @@
-"""What the other side of the platform's protocol writes, for stand-ins."""
+"""Sample messages and files of the platform, for stand-ins and tests."""
 
 import json
 
@@ -7,7 +7,7 @@
 from dandelionwinch.platform import _wire_codec
 from dandelionwinch import routes
 
-SETTINGS_VARIABLE = _boot.VARIABLE
+SETTINGS_VARIABLE = _boot.SETTINGS_VARIABLE
 CONFIG_KEY = _store_codec.CONFIG_KEY
 REQUEST_ID = _wire_codec.REQUEST_ID
 TARGET = _wire_codec.TARGET
@@ -98,17 +98,33 @@
 
 
 def entry(**changes):
-    """Returns the bytes of an upstream's entry; fields by wire names."""
+    """Returns the bytes of an upstream's entry.
+
+    Args:
+        changes: Fields that differ from the sample, by their wire names.
+    """
     return json.dumps({**_ENTRY, **changes}).encode()
 
 
 def route(**changes):
-    """Returns one route of a configuration; fields by wire names."""
+    """Returns one route of a configuration.
+
+    Args:
+        changes: Fields that differ from the sample, by their wire names.
+    """
     return {**_ROUTE, **changes}
 
 
 def route_of(name, repeat, *, streaming=False, attempts=1, timeout_s=3.0):
-    """Returns one route of a configuration, by the product's words."""
+    """Returns one route of a configuration.
+
+    Args:
+        name: Name of the route; its prefix is `/name/`.
+        repeat: Repeat of the route.
+        streaming: Whether its responses are event streams.
+        attempts: Maximum number of attempts.
+        timeout_s: Timeout of a request in seconds.
+    """
     kind = 'idempotent'
     if streaming:
         kind = 'streaming'
@@ -127,15 +143,19 @@
 
 
 def service(**changes):
-    """Returns one service of a configuration; fields by wire names."""
+    """Returns one service of a configuration.
+
+    Args:
+        changes: Fields that differ from the sample, by their wire names.
+    """
     return {**_SERVICE, **changes}
 
 
-def config(version, rows, services=()):
+def config(version, route_list, services=()):
     """Returns the bytes of a configuration."""
     body = {
         'version': version,
-        'routes': rows,
+        'routes': route_list,
         'services': list(services),
         'limits': _LIMITS,
     }
@@ -148,8 +168,8 @@
     Args:
         target: Path with its query.
         request_id: Id of the request.
-        timeout_ms: How long the caller waits.
-        prompt: Sizes of the prompt's parts, or None.
+        timeout_ms: Time for which the caller waits.
+        prompt: Tokens of each prefix block of the prompt, or None.
         more: Further headers, as pairs.
     """
     lines = [
@@ -160,15 +180,17 @@
         'Content-Length: 2',
     ]
     if prompt is not None:
-        parts = ','.join(f'{n:x}:{size}' for n, size in enumerate(prompt))
+        blocks = ','.join(
+            f'{number:x}:{size}' for number, size in enumerate(prompt)
+        )
         lines.append(f'{TOKEN_USAGE}: {sum(prompt)},80')
-        lines.append(f'{_wire_codec.PROMPT_PREFIX}: {parts}')
+        lines.append(f'{_wire_codec.PROMPT_PREFIX}: {blocks}')
     lines += [f'{name}: {value}' for name, value in more]
     return '\r\n'.join(lines).encode() + b'\r\n\r\n{}'
 
 
 def resolve_request(data_centre, region):
-    """Returns the bytes of a caller's question where to connect."""
+    """Returns the bytes of a caller's request for addresses to connect to."""
     target = f'/-/resolve?name=desk&region={region}&zone={data_centre}'
     return (
         f'GET {target} HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n'
@@ -176,21 +198,21 @@
 
 
 def resolved_addresses(body):
-    """Returns the addresses of an answer to that question."""
+    """Returns the addresses in the body of the response to that request."""
     return json.loads(body)['addresses']
 
 
 def response_head(
     request_id, framing='', status='200 OK', more='', signed=True
 ):
-    """Returns the head of an upstream's answer.
+    """Returns the head of an upstream's response.
 
     Args:
-        request_id: Id of the request, or '' to leave it out.
-        framing: The header that tells the length, or ''.
-        status: Status with its reason.
-        more: Further lines, each with its end.
-        signed: Whether it bears the upstream's signature.
+        request_id: Id of the request, or '' to omit it.
+        framing: Header line that frames the body, or ''.
+        status: Status code and reason phrase.
+        more: Further header lines, each with its CRLF.
+        signed: Whether it has the upstream's signature.
     """
     lines = [f'HTTP/1.1 {status}']
     if request_id:
@@ -203,7 +225,7 @@
 
 
 def refusal(status='503 Service Unavailable', more=''):
-    """Returns an upstream's answer that it did not run a request."""
+    """Returns an upstream's response that it did not execute a request."""
     return (
         f'HTTP/1.1 {status}\r\n{_wire_codec.NOT_EXECUTED}: 1\r\n{more}'
         'Content-Length: 0\r\n\r\n'
@@ -211,7 +233,11 @@
 
 
 def prefill_body(name):
-    """Returns the body of an answer to a prompt that was only read."""
+    """Returns the body of the response to a prefill request.
+
+    Args:
+        name: The KV cache handle.
+    """
     return json.dumps(
         {'kvHandle': name, 'tokens': 5000, 'version': 1}
     ).encode()
