--- a/dandelionwinch/control/_registered.py
+++ b/dandelionwinch/control/_registered.py
@@ -64,17 +64,17 @@
             return max(current, self._stored_capacity)
         return current
 
-    def instance_count(self, own, now):
+    def instance_count(self, own_capacity, now):
         """Returns the total capacity in units of an instance's own.
 
         Args:
-            own: Capacity of the instance.
+            own_capacity: Capacity of the instance.
             now: Time in seconds.
 
         Returns:
             At least 1; the inverse is the instance's share of all limits.
         """
-        return max(1.0, self.capacity(now) / own)
+        return max(1.0, self.capacity(now) / own_capacity)
 
     def should_store(self, capacity):
         """Returns whether this total capacity is to replace the stored one.
