--- a/dandelionwinch/membership/_gossip.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -220,6 +220,7 @@
         They poll the store for configurations and exchange digests with
         other data centres.
         """
+        # All instances must rank alike, so the salt must not change.
         ranking = sorted(
             (
                 peer
