--- a/dandelionwinch/claims/_resolve.py
+++ b/dandelionwinch/claims/_resolve.py
@@ -5,15 +5,15 @@
 from dandelionwinch.claims import _bucket
 
 
-class Proof(enum.StrEnum):
+class OutcomeStatus(enum.StrEnum):
     """What the back end says of a key."""
 
     RAN = 'ran'
     NEVER_SEEN = 'never seen'
-    CANNOT_SAY = 'cannot say'
+    INDETERMINATE = 'cannot say'
 
 
-def is_unfinished(claim, holder_gone):
+def needs_resolution(claim, holder_gone):
     """Tells whether a claim's outcome has to be found by others.
 
     An open claim belongs to its holder as long as that may live.
@@ -23,7 +23,7 @@
     return claim.state is _bucket.State.UNKNOWN
 
 
-def resolution(claim, proof, holder_gone, quiet_s, settle_s):
+def resolved_state(claim, status, holder_gone, quiet_s, settle_s):
     """Decides what an unfinished claim becomes.
 
     "Never seen" proves that a call did not run only if nobody can send
@@ -39,9 +39,9 @@
     Returns:
         The State that it should have, or None to leave it alone.
     """
-    if proof is Proof.RAN:
+    if status is OutcomeStatus.RAN:
         return _bucket.State.DONE
-    finished = is_unfinished(claim, holder_gone)
-    if proof is Proof.NEVER_SEEN and finished and quiet_s > settle_s:
+    finished = needs_resolution(claim, holder_gone)
+    if status is OutcomeStatus.NEVER_SEEN and finished and quiet_s > settle_s:
         return _bucket.State.NOT_RUN
     return _bucket.State.UNKNOWN if finished else None
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -52,7 +52,7 @@
             rng,
             self._on_config,
         )
-        self._entry = addresses.Presence(
+        self._entry = addresses.InstanceEntry(
             cfg.instance,
             cfg.callers,
             cfg.data_centre,
@@ -84,7 +84,7 @@
             loop,
             self._gateway.handle,
             routes.Limits(),
-            self._gateway.refused_early,
+            self._gateway.log_early_refusal,
         )
         if cfg.callers:
             self._servers['callers'] = (cfg.callers, self._callers)
@@ -124,7 +124,9 @@
 
     def _flush(self):
         self.log.flush()
-        self._flusher = self._loop.call_later(eventlog.FLUSH_S, self._flush)
+        self._flusher = self._loop.call_later(
+            eventlog.FLUSH_INTERVAL_S, self._flush
+        )
 
     def _on_config(self, table):
         self._callers.limits = table.limits
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -172,16 +172,16 @@
         if change is None:
             return
         self._next_order_at = now + SETTLE_S
-        upstream = self._gateway.fleet.beliefs.get(change.upstream_id)
+        upstream = self._gateway.fleet.registry.get(change.upstream_id)
         await self._store.put(
             ROLE_CHANGE_PREFIX + change.upstream_id,
             change.role.value.encode(),
             self._lease,
         )
-        self._gateway.changing(change.upstream_id, ROLE_CHANGE_S)
+        self._gateway.begin_role_change(change.upstream_id, ROLE_CHANGE_S)
         await asyncio.sleep(ANNOUNCE_WAIT_S)
         await self._renew()
-        if self._gateway.fleet.beliefs.serves(upstream):
+        if self._gateway.fleet.registry.serves(upstream):
             await self._send(upstream, change)
         self._next_order_at = self._loop.time() + SETTLE_S
 
@@ -192,11 +192,11 @@
                 continue
             engines = [
                 upstream
-                for upstream in fleet.beliefs.serving(service.name)
-                if upstream.changing_until <= now
+                for upstream in fleet.registry.serving(service.name)
+                if upstream.role_change_until <= now
             ]
             change = dispatch.plan_role(
-                engines, self._gateway.placer.answers(now)
+                engines, self._gateway.placer.peak_decodes(now)
             )
             if change is not None:
                 return change
--- a/dandelionwinch/control/_order_sender.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -61,13 +61,13 @@
                     change, self._name, token, accepted_count
                 )
             )
-            conn = await pool.take(ORDER_TIMEOUT_S)
+            conn = await pool.acquire(ORDER_TIMEOUT_S)
             try:
                 # There must be no await between this check and the write.
                 if not may_order():
                     return Sent(0, 'the lease is not certain')
-                conn.begin(request)
-                head = await conn.next(ORDER_TIMEOUT_S)
+                conn.send(request)
+                head = await conn.next_item(ORDER_TIMEOUT_S)
             finally:
                 pool.discard(conn)
         except (gateway.NotConnected, gateway.ConnectionLost) as exc:
@@ -79,10 +79,10 @@
         request = gateway.request_bytes(
             *self._wire_codec.report_request(upstream_id), b''
         )
-        conn = await pool.take(ORDER_TIMEOUT_S)
+        conn = await pool.acquire(ORDER_TIMEOUT_S)
         try:
-            conn.begin(request)
-            _head, body = await gateway.read_whole(conn, ORDER_TIMEOUT_S)
+            conn.send(request)
+            _head, body = await gateway.read_response(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
         return self._wire_codec.accepted_order_count(body)
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -29,7 +29,7 @@
     """
     try:
         data = json.loads(value)
-        entry = addresses.Presence(**data)
+        entry = addresses.InstanceEntry(**data)
     except (ValueError, TypeError) as exc:
         raise _store.EntryInvalid(f"an instance's entry: {exc}") from exc
     for name, value in data.items():
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -39,8 +39,8 @@
 
     __slots__ = (
         '_capacity',
-        '_deregistration_guard',
         '_gateway',
+        '_guard',
         '_log',
         '_loop',
         '_revision',
@@ -65,7 +65,7 @@
         self._capacity = capacity
         self._log = log
         self._rng = rng
-        self._deregistration_guard = upstreams.Absence()
+        self._guard = upstreams.DeregistrationGuard()
         self._revision = 0
         self._task = None
         self._synced = False
@@ -119,7 +119,7 @@
         if self._synced:
             self._log.event('store.lost', reason=str(exc))
         self._synced = False
-        self._deregistration_guard.store_failed(self._loop.time())
+        self._guard.store_failed(self._loop.time())
 
     def _store_reached(self):
         if not self._synced:
@@ -143,7 +143,7 @@
         self._remove_upstreams(
             [
                 upstream.entry.id
-                for upstream in self._gateway.fleet.beliefs
+                for upstream in self._gateway.fleet.registry
                 if upstream.gone_at is None
                 and self._store_codec.key_of(upstream.entry.id) not in keys
             ],
@@ -155,7 +155,7 @@
         self._after_response(now)
 
     async def _watch(self):
-        due_s = self._deregistration_guard.next_due_s(self._loop.time())
+        due_s = self._guard.next_due_s(self._loop.time())
         wait_s = (
             WATCH_TIMEOUT_S if due_s is None else min(WATCH_TIMEOUT_S, due_s)
         )
@@ -213,10 +213,10 @@
             return
         name = item.key.removeprefix(_order_leader.ROLE_CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
-        upstream = self._gateway.fleet.beliefs.get(name)
+        upstream = self._gateway.fleet.registry.get(name)
         if upstream is None or upstream.entry.role.value == role:
             return
-        self._gateway.changing(name, _order_leader.ROLE_CHANGE_S)
+        self._gateway.begin_role_change(name, _order_leader.ROLE_CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
@@ -237,20 +237,20 @@
         self.on_config(table)
 
     def _apply_upstream(self, name, item, now):
-        beliefs = self._gateway.fleet.beliefs
+        registry = self._gateway.fleet.registry
         try:
             entry = self._store_codec.read_upstream(name, item.value)
         except _store.EntryInvalid as exc:
             self._log.event('upstream.invalid', finding=exc.message)
-            beliefs.remove(name, now)
+            registry.remove(name, now)
             return
-        upstream = beliefs.get(name)
+        upstream = registry.get(name)
         previous = upstream.entry if upstream else None
-        self._deregistration_guard.returned(name)
-        if beliefs.apply(entry):
+        self._guard.registered(name)
+        if registry.apply(entry):
             self._gateway.placer.forget(name)
         if previous is not None and previous.role is not entry.role:
-            self._gateway.changed(name)
+            self._gateway.end_role_change(name)
         if previous is None or (
             previous.ready,
             previous.role,
@@ -274,24 +274,22 @@
     def _remove_upstreams(self, upstream_ids, now):
         registered = sum(
             1
-            for upstream in self._gateway.fleet.beliefs
+            for upstream in self._gateway.fleet.registry
             if upstream.gone_at is None
         )
-        for name in self._deregistration_guard.vanished(
-            upstream_ids, registered, now
-        ):
+        for name in self._guard.deregistered(upstream_ids, registered, now):
             self._remove_upstream(name, now, held=False)
 
     def _after_response(self, now):
         """Applies what is due after each response of the store."""
-        self._gateway.set_parts(
+        self._gateway.set_instance_count(
             self.registered.instance_count(self._capacity, now)
         )
-        for name in self._deregistration_guard.due(now):
+        for name in self._guard.due(now):
             self._remove_upstream(name, now, held=True)
 
     def _remove_upstream(self, name, now, held):
-        self._gateway.fleet.beliefs.remove(name, now)
+        self._gateway.fleet.registry.remove(name, now)
         self._log.event('upstream.gone', upstream=name, held=held)
 
     def _apply_instance(self, item):
--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_beats.py
@@ -43,7 +43,7 @@
                 known.name, known.member.incarnation
             )
         addresses = core.members.tick(now)
-        core.members.local.jobs = core.work.jobs()
+        core.members.local.jobs = core.scheduler.jobs()
         core.members.local.revision = core.documents.revision
         core.metrics.members.set(len(core.members.live(now)))
         core.metrics.ready.set(0 if core.unready_reason() else 1)
@@ -94,10 +94,10 @@
         digest.loads.extend(
             core.loads.known(now, None if near else LOADS_ACROSS_DATA_CENTRES)
         )
-        for team, rate in core.work.admission.uses(now).items():
+        for team, rate in core.scheduler.admission.rates_by_team(now).items():
             digest.uses.add(team=team, jobs_per_s=rate)
-        sent = core.work.placer.own_rates(now)
-        for pool, rates in core.work.demands(now).items():
+        sent = core.scheduler.placer.own_rates(now)
+        for pool, rates in core.scheduler.demands(now).items():
             digest.demands.add(
                 pool=pool,
                 short_prefill=rates[0][0],
@@ -106,17 +106,17 @@
                 decode=rates[1][1],
                 sent=sent.get(pool, 0.0),
             )
-        stamp = core.hybrid.now()
-        digest.physical_us = stamp.physical_us
-        digest.logical = stamp.logical
+        timestamp = core.hybrid_clock.now()
+        digest.physical_us = timestamp.physical_us
+        digest.logical = timestamp.logical
         return digest
 
     async def take(self, peer, digest):
         """Takes in a digest, fetching settings if it has newer ones."""
         core = self._core
         now = core.now()
-        stamp = timeline.Stamp(digest.physical_us, digest.logical)
-        core.hybrid.meet(stamp)
+        timestamp = timeline.Timestamp(digest.physical_us, digest.logical)
+        core.hybrid_clock.update(timestamp)
         before = {k.name for k in core.members.live(now)}
         unknown = core.members.merge(digest, now)
         self._unknown[peer] = unknown
@@ -125,7 +125,9 @@
             core.event('instance.seen', name)
         core.loads.merge(digest.loads, now)
         uses = {item.team: item.jobs_per_s for item in digest.uses}
-        core.work.admission.peer_uses(digest.sender.name, uses, now)
+        core.scheduler.admission.record_peer_rates(
+            digest.sender.name, uses, now
+        )
         self.demands[digest.sender.name] = (now, _rates_of(digest))
         sent = {item.pool: item.sent for item in digest.demands}
         self._sent[digest.sender.name] = (now, sent)
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -15,15 +15,15 @@
 GIGABYTE = 1e9
 
 
-class Work:
+class Scheduler:
     """Owns the running jobs, the limits and the placer."""
 
     def __init__(self, core):
         self._core = core
-        self.book = jobs.JobBook()
+        self.job_history = jobs.JobHistory()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
-        self.beliefs = placement.Beliefs()
-        self.placer = placement.Placer(self.beliefs, core.rng)
+        self.estimates = placement.LoadEstimates()
+        self.placer = placement.Placer(self.estimates, core.rng)
         self._budgets = {}
         self.trends = {}
         self._demands = {}
@@ -34,8 +34,8 @@
 
     def adopt(self, catalog):
         """Takes over the upstreams of a new configuration."""
-        self.beliefs.set_upstreams(
-            _belief(upstream, catalog.data_centre_of(upstream))
+        self.estimates.set_upstreams(
+            _estimate(upstream, catalog.data_centre_of(upstream))
             for upstream in catalog.all('upstream')
             if upstream.role is not settings.Role.SERVICE
         )
@@ -57,7 +57,7 @@
         record = jobs.JobRecord(
             message.job_id, message.team, message.target, now
         )
-        self.book.open(record)
+        self.job_history.add(record)
         core.metrics.running.set(self.admission.jobs)
         core.event('job.admitted', message.job_id, message.target)
 
@@ -114,7 +114,7 @@
             output_tokens=query.output_tokens,
             prefix=query.prefix,
             prefix_tokens=query.prompt_tokens,
-            patience_s=DEFAULT_PATIENCE_S,
+            max_wait_s=DEFAULT_PATIENCE_S,
             gap_s=model.token_gap_s,
             exclude=query.exclude,
         )
@@ -129,22 +129,24 @@
         link = catalog.link()
         sites = []
         for pool in pools:
-            extra_s = 0.0
+            link_cost_s = 0.0
             if pool.data_centre != here:
-                extra_s = link.latency_s
+                link_cost_s = link.latency_s
             if catalog.region_of(pool.data_centre) != region:
-                extra_s += 2 * link.latency_s + _link_s(link, query)
+                link_cost_s += 2 * link.latency_s + _link_s(link, query)
             names = tuple(
                 upstream.name
                 for upstream in catalog.upstreams_of(pool.name)
                 if upstream.state is settings.UpstreamState.ACTIVE
             )
-            sites.append(placement.Site(pool.name, names, extra_s))
-        sites.sort(key=lambda site: (site.extra_s, site.name))
+            sites.append(
+                placement.CandidatePool(pool.name, names, link_cost_s)
+            )
+        sites.sort(key=lambda site: (site.link_cost_s, site.name))
         return sites
 
     def _note(self, message, choice, now):
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         job = message.job
         if record is not None:
             record.upstream = choice.decode or choice.prefill
@@ -180,7 +182,7 @@
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
         apart = choice.prefill != decode.name
-        return messages.Placed(
+        return messages.Placement(
             upstream=decode.name,
             address=decode.address,
             prefill_upstream=prefill.name if apart else '',
@@ -219,19 +221,19 @@
             )
         found.sort(key=lambda pair: pair[0])
         upstreams = tuple(upstream for _rank, upstream in found)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.upstream = upstreams[0].name
             record.attempts += 1
-        return messages.ServicePlaces(service, upstreams)
+        return messages.ServicePlacement(service, upstreams)
 
     def upstream_failed(self, message):
         """Leaves an upstream alone for a while after a failure."""
         core = self._core
         now = core.now()
-        self.beliefs.failed(message.upstream, now)
+        self.estimates.failed(message.upstream, now)
         core.loads.rest(message.upstream, now)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.terms.append(
                 f'upstream "{message.upstream}" failed: {message.reason}'
@@ -260,18 +262,18 @@
     def finish(self, message):
         """Notes how a job ended and books what it earned."""
         core = self._core
-        record = self.book.end(
+        record = self.job_history.end(
             message.job_id, message.state, message.code, core.now()
         )
         if record is None:
             return
         record.tokens = message.tokens
         team = self._team(record.team)
-        self.admission.finish(team.name)
+        self.admission.release(team.name)
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
-            self._budget(record.target).succeeded()
+            self._budget(record.target).record_success()
             core.loads.rested(record.upstream)
             core.metrics.tokens.inc(message.tokens)
             core.earnings.book(record, message.tokens)
@@ -289,8 +291,8 @@
     return size / link.bytes_per_s + link.price * size / GIGABYTE
 
 
-def _belief(upstream, data_centre):
-    return placement.Belief(
+def _estimate(upstream, data_centre):
+    return placement.LoadEstimate(
         name=upstream.name,
         data_centre=data_centre,
         role=upstream.role,
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -9,7 +9,7 @@
 SHORT_PROMPT_TOKENS = 1024
 
 
-class Lane(enum.Enum):
+class PriorityClass(enum.Enum):
     """How urgent a prompt is at its engine."""
 
     ANSWER = 'answer'
@@ -18,8 +18,8 @@
 
 
 # A prompt that was read elsewhere needs its engine for the shortest time.
-HANDED_OVER_URGENCY = 1
-URGENCY = {Lane.ANSWER: 2, Lane.URGENT: 5}
+HANDOVER_PRIORITY = 1
+URGENCY = {PriorityClass.ANSWER: 2, PriorityClass.URGENT: 5}
 RETURNED_URGENCY = 6
 BACKGROUND_SIZES = (1500, 4000)
 
@@ -34,12 +34,12 @@
 
     tokens: int
     output_tokens: int
-    parts: tuple[tuple[str, int], ...] = ()
+    prefix_blocks: tuple[tuple[str, int], ...] = ()
 
     @property
-    def shared(self):
+    def shared_blocks(self):
         """Returns the parts that other requests may have too."""
-        return self.parts[:-1]
+        return self.prefix_blocks[:-1]
 
     @property
     def short(self):
@@ -62,29 +62,29 @@
 
     prefill: object
     decode: object
-    lane: Lane
+    priority_class: PriorityClass
     late: bool
     objective_s: float
-    fresh_tokens: int
+    uncached_tokens: int
     work_s: float
     terms: str
 
     @property
-    def urgency(self):
+    def priority(self):
         """Returns the urgency at the engine, 0 (first) to 9.
 
         In the background small prompts go first, as many of them are
         served for one large one; those that come back go before all,
         as they will not come a third time.
         """
-        if self.lane is not Lane.BACKGROUND:
-            return URGENCY[self.lane]
+        if self.priority_class is not PriorityClass.BACKGROUND:
+            return URGENCY[self.priority_class]
         if self.late:
             return RETURNED_URGENCY
-        sizes = bisect.bisect(BACKGROUND_SIZES, self.fresh_tokens)
+        sizes = bisect.bisect(BACKGROUND_SIZES, self.uncached_tokens)
         return RETURNED_URGENCY + 1 + sizes
 
     @property
-    def reader(self):
+    def prefill_engine(self):
         """Returns the belief of the engine that reads the prompt."""
         return self.prefill or self.decode
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""Wires routes, beliefs, placement, limits and connections together."""
+"""Wires routes, upstreams, placement, limits and connections together."""
 
 import random
 import traceback
@@ -39,7 +39,7 @@
         self.rng = rng or random.Random()
         self.distances = dispatch.Distances(cfg.data_centre, cfg.regions)
         self.placer = dispatch.EnginePlacer(self.distances, self.rng)
-        self.budget = attempts.SharedBudget(
+        self.budget = attempts.SharedRetryBudget(
             cfg.retry_ratio, cfg.retry_slack, cfg.retry_window_s
         )
         self.fleet = _fleet.Fleet(loop)
@@ -78,24 +78,22 @@
         head = incoming.head
         table = self.fleet.table
         if table is None:
-            headers = self.wire_codec.come_back(NO_ROUTES_RETRY_S)
+            headers = self.wire_codec.retry_after_headers(NO_ROUTES_RETRY_S)
             self._refuse(caller, incoming, 503, 'no routes yet', headers)
             return
         route = table.match(head.header('host'), head.path)
         if route is None:
             self._refuse(caller, incoming, 404, 'no route matches')
             return
-        inquiry = self.wire_codec.parse_request(head, bytes(incoming.body))
+        req = self.wire_codec.parse_request(head, bytes(incoming.body))
         kind = _call.Call
-        if route.streaming and inquiry.prompt is not None:
+        if route.streaming and req.prompt is not None:
             kind = _generation.Generation
-        exchange = kind(self, inquiry, route, caller, incoming.at)
+        exchange = kind(self, req, route, caller, incoming.at)
         try:
             await exchange.run()
         except BaseException as exc:
-            self.log.event(
-                'request.left', request=inquiry.id, reason=repr(exc)
-            )
+            self.log.event('request.left', request=req.id, reason=repr(exc))
             raise
 
     def _refuse(self, caller, incoming, status, reason, headers=()):
@@ -106,32 +104,34 @@
             status=status,
             reason=reason,
         )
-        caller.answer(status, headers, reason.encode())
+        caller.respond(status, headers, reason.encode())
 
-    def refused_early(self, status, reason):
+    def log_early_refusal(self, status, reason):
         """Notes a request that was refused before it was whole."""
         self.log.event('request.refused', status=status, reason=reason)
 
-    def set_parts(self, parts):
-        """Takes the number of parts like its own that limits are cut in."""
-        self.fleet.parts = parts
-        self.placer.parts = parts
+    def set_instance_count(self, instance_count):
+        """Sets the number of equal instances that share the limits."""
+        self.fleet.instance_count = instance_count
+        self.placer.instance_count = instance_count
 
-    def changing(self, upstream_id, span_s):
+    def begin_role_change(self, upstream_id, span_s):
         """Keeps requests away from an engine that changes its role."""
-        belief = self.fleet.beliefs.get(upstream_id)
-        if belief is not None:
-            belief.changing_until = self.loop.time() + span_s
+        upstream = self.fleet.registry.get(upstream_id)
+        if upstream is not None:
+            upstream.role_change_until = self.loop.time() + span_s
 
-    def changed(self, upstream_id):
+    def end_role_change(self, upstream_id):
         """Lets an engine that has its new role take requests."""
-        belief = self.fleet.beliefs.get(upstream_id)
-        if belief is not None:
-            belief.changing_until = 0.0
+        upstream = self.fleet.registry.get(upstream_id)
+        if upstream is not None:
+            upstream.role_change_until = 0.0
 
     def spend_retry(self, service):
         """Takes a retry out of the shared budget."""
-        return self.budget.spend(service, self.fleet.parts, self.loop.time())
+        return self.budget.spend(
+            service, self.fleet.instance_count, self.loop.time()
+        )
 
     def log_placement(self, request_id, placement):
         """Logs where a generation goes, and why."""
@@ -141,7 +141,7 @@
             request=request_id,
             prefill=prefill.entry.id if prefill else '',
             decode=placement.decode.entry.id,
-            lane=placement.lane.value,
+            lane=placement.priority_class.value,
             terms=placement.terms,
         )
 
--- a/dandelionwinch/gateway/_inquiry.py
+++ b/dandelionwinch/gateway/_inquiry.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Inquiry:
+class CallerRequest:
     """One caller's request, as read by a dialect.
 
     Attributes:
@@ -25,32 +25,32 @@
     body: bytes
     timeout_s: float | None
     prompt: dispatch.Prompt | None = None
-    last_event: int | None = None
+    last_event_id: int | None = None
 
 
 @attrs.frozen
-class Sending:
+class AttemptParams:
     """What the system says to an upstream beside the caller's request.
 
     Attributes:
         upstream_id: The only upstream that may run it.
-        left_s: Time that is left for it.
+        timeout_s: Time that is left for it.
         urgency: 0 (first) to 9, None for the upstream's default.
         prefill_only: Whether only the prompt is to be read.
-        source: Address and handle of a prefilled prompt, or ''.
+        kv_source: Address and handle of a prefilled prompt, or ''.
         last_event: Id of the last event already delivered, or None.
     """
 
     upstream_id: str
-    left_s: float
-    urgency: int | None = None
+    timeout_s: float
+    priority: int | None = None
     prefill_only: bool = False
-    source: str = ''
-    last_event: int | None = None
+    kv_source: str = ''
+    last_event_id: int | None = None
 
 
 @attrs.frozen
-class Reply:
+class ReplyHeaders:
     """What an upstream's response head says.
 
     Attributes:
@@ -70,7 +70,7 @@
     def parse_request(self, head, body):
         """Returns the Inquiry of a request, or raises BadRequest."""
 
-    def upstream_headers(self, inquiry, sending):
+    def upstream_headers(self, req, params):
         """Returns the headers of a request to an upstream, as pairs."""
 
     def parse_reply(self, head):
@@ -79,5 +79,5 @@
     def parse_kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
 
-    def come_back(self, wait_s):
+    def retry_after_headers(self, wait_s):
         """Returns the headers that say when to come back, as pairs."""
--- a/dandelionwinch/placement/__init__.py
+++ b/dandelionwinch/placement/__init__.py
@@ -1,16 +1,16 @@
 """Where a job runs, and which roles the upstreams of a pool have."""
 
-from dandelionwinch.placement._beliefs import Belief
-from dandelionwinch.placement._beliefs import Beliefs
+from dandelionwinch.placement._beliefs import LoadEstimate
+from dandelionwinch.placement._beliefs import LoadEstimates
 from dandelionwinch.placement._beliefs import Report
+from dandelionwinch.placement._decider import choose_owner
 from dandelionwinch.placement._decider import Query
-from dandelionwinch.placement._decider import usual_decider
+from dandelionwinch.placement._placer import CandidatePool
 from dandelionwinch.placement._placer import Choice
 from dandelionwinch.placement._placer import Demand
 from dandelionwinch.placement._placer import Placer
 from dandelionwinch.placement._placer import Refusal
-from dandelionwinch.placement._placer import Site
-from dandelionwinch.placement._prefixes import Prefixes
+from dandelionwinch.placement._prefixes import PrefixIndex
 from dandelionwinch.placement._roles import Capacity
 from dandelionwinch.placement._roles import plan_roles
 from dandelionwinch.placement._roles import RoleChange
@@ -18,20 +18,20 @@
 from dandelionwinch.placement._trend import Trend
 
 __all__ = [
-    'Belief',
-    'Beliefs',
+    'CandidatePool',
     'Capacity',
     'Choice',
     'Demand',
+    'LoadEstimate',
+    'LoadEstimates',
     'Placer',
-    'Prefixes',
+    'PrefixIndex',
     'Query',
     'Refusal',
     'Report',
     'RoleChange',
-    'Site',
     'Trend',
+    'choose_owner',
     'plan_roles',
     'served_share',
-    'usual_decider',
 ]
--- a/dandelionwinch/placement/_prefixes.py
+++ b/dandelionwinch/placement/_prefixes.py
@@ -16,7 +16,7 @@
     at: float
 
 
-class Prefixes:
+class PrefixIndex:
     """Beliefs about cached prefixes, each with its age.
 
     Cache events come late and with gaps, and engines evict without a
@@ -28,7 +28,7 @@
     def __init__(self):
         self._hits = collections.OrderedDict()
 
-    def learn(self, prefix, upstream, tokens, now):
+    def record(self, prefix, upstream, tokens, now):
         """Notes that an upstream holds a prefix of some tokens."""
         hits = self._hits.pop(prefix, ())
         kept = [hit for hit in hits if hit.upstream != upstream]
--- a/dandelionwinch/platform/_store.py
+++ b/dandelionwinch/platform/_store.py
@@ -129,19 +129,19 @@
 
     async def _exchange(self, request, timeout_s):
         try:
-            conn = await self._pool.take(timeout_s)
+            conn = await self._pool.acquire(timeout_s)
         except gateway.NotConnected as exc:
             raise control.StoreRefused(str(exc)) from exc
         try:
-            conn.begin(request)
-            head, text = await gateway.read_whole(conn, timeout_s)
+            conn.send(request)
+            head, text = await gateway.read_response(conn, timeout_s)
         except gateway.ConnectionLost as exc:
             self._pool.discard(conn)
             raise control.StoreFailed(f'the store: {exc}') from exc
         except BaseException:
             self._pool.discard(conn)
             raise
-        self._pool.give(conn)
+        self._pool.release(conn)
         return head.status, text
 
 
--- a/dandelionwinch/platform/_store_codec.py
+++ b/dandelionwinch/platform/_store_codec.py
@@ -125,16 +125,16 @@
     place = f'{CONFIG_KEY}.routes.{item.get("name")}'
     kind = _read_field(item, 'kind', str, place)
     streaming = kind == 'streaming'
-    repeat = routes.Repeat.ONCE
+    retry_policy = routes.RetryPolicy.ONCE
     if kind == 'idempotent':
-        repeat = routes.Repeat.IDEMPOTENT
+        retry_policy = routes.RetryPolicy.IDEMPOTENT
     elif streaming and item.get('resumable') is True:
-        repeat = routes.Repeat.RESUMABLE
+        retry_policy = routes.RetryPolicy.RESUMABLE
     return routes.Route(
         _read_field(item, 'name', str, place),
         _read_field(item, 'host', str, place),
         _read_field(item, 'prefix', str, place),
-        repeat,
+        retry_policy,
         streaming,
         _read_field(item, 'timeoutMs', (int, float), place) / 1e3,
         _read_field(item, 'targetLatencyMs', (int, float), place) / 1e3,
@@ -149,9 +149,11 @@
 def _read_shares(item, place):
     split = item.get('trafficSplit')
     if not split:
-        return (routes.Share(_read_field(item, 'service', str, place), 1.0),)
+        return (
+            routes.TrafficShare(_read_field(item, 'service', str, place), 1.0),
+        )
     return tuple(
-        routes.Share(
+        routes.TrafficShare(
             _read_field(share, 'service', str, place),
             float(_read_field(share, 'weight', (int, float), place)),
         )
@@ -171,7 +173,7 @@
 
 
 def _read_engine(item, place):
-    return routes.Engine(
+    return routes.EngineSpec(
         _read_field(item, 'slots', int, place),
         _read_field(item, 'kvTokens', int, place),
         _read_field(item, 'kvTokenBytes', (int, float), place),
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -63,7 +63,7 @@
             pair for pair in head.end_to_end() if pair[0] not in SYSTEM_ONLY
         )
         timeout_ms = _parse_int(head.header(TIMEOUT_MS))
-        return gateway.Inquiry(
+        return gateway.CallerRequest(
             request_id,
             head.method,
             head.target,
@@ -83,20 +83,20 @@
         """
         pairs = list(req.headers)
         pairs.append((TARGET, params.upstream_id))
-        pairs.append((TIMEOUT_MS, str(max(1, int(params.left_s * 1e3)))))
-        if params.last_event is not None:
-            pairs.append((LAST_EVENT_ID, str(params.last_event)))
-        if params.urgency is not None:
-            pairs.append((PRIORITY, str(params.urgency)))
+        pairs.append((TIMEOUT_MS, str(max(1, int(params.timeout_s * 1e3)))))
+        if params.last_event_id is not None:
+            pairs.append((LAST_EVENT_ID, str(params.last_event_id)))
+        if params.priority is not None:
+            pairs.append((PRIORITY, str(params.priority)))
         if params.prefill_only:
             pairs.append((STAGE, 'prefill'))
-        if params.source:
-            pairs.append((KV_SOURCE, params.source))
+        if params.kv_source:
+            pairs.append((KV_SOURCE, params.kv_source))
         return pairs
 
     def parse_reply(self, head):
         """Parses the head of an upstream's response to a Reply."""
-        return gateway.Reply(
+        return gateway.ReplyHeaders(
             head.header(REQUEST_ID),
             bool(head.header(NOT_EXECUTED)),
             bool(head.header(SIGNATURE)),
@@ -162,7 +162,7 @@
         count = value.get('sequence')
         return count if type(count) is int else None
 
-    def come_back(self, wait_s):
+    def retry_after_headers(self, wait_s):
         """Returns the headers that tell a caller when to retry."""
         return [('Retry-After', f'{wait_s:.2f}')]
 
--- a/dandelionwinch/tests/house.py
+++ b/dandelionwinch/tests/house.py
@@ -51,30 +51,30 @@
     retry_window_s: float = 10.0
 
 
-def route(name, repeat, streaming=False, attempts=2, **changes):
+def route(name, retry_policy, streaming=False, attempts=2, **changes):
     made = routes.Route(
         name,
         'desk',
         f'/{name}/',
-        repeat,
+        retry_policy,
         streaming,
         5.0,
         0.15,
         0,
         attempts,
-        (routes.Share('s', 1.0),),
-        gap_s=0.15,
+        (routes.TrafficShare('s', 1.0),),
+        event_gap_s=0.15,
     )
     return attrs.evolve(made, **changes)
 
 
 ROUTES = [
-    route('safe', routes.Repeat.IDEMPOTENT),
-    route('once', routes.Repeat.ONCE, attempts=1),
-    route('twice', routes.Repeat.ONCE, attempts=2),
-    route('short', routes.Repeat.ONCE, attempts=1, timeout_s=0.3),
-    route('stream', routes.Repeat.ONCE, True, attempts=1),
-    route('resume', routes.Repeat.RESUMABLE, True),
+    route('safe', routes.RetryPolicy.IDEMPOTENT),
+    route('once', routes.RetryPolicy.ONCE, attempts=1),
+    route('twice', routes.RetryPolicy.ONCE, attempts=2),
+    route('short', routes.RetryPolicy.ONCE, attempts=1, timeout_s=0.3),
+    route('stream', routes.RetryPolicy.ONCE, True, attempts=1),
+    route('resume', routes.RetryPolicy.RESUMABLE, True),
 ]
 
 
@@ -101,7 +101,7 @@
         )
         for number, upstream in enumerate(self.upstreams):
             await upstream.start()
-            self.gateway.fleet.beliefs.apply(
+            self.gateway.fleet.registry.apply(
                 upstreams.Entry(
                     f'u{number}',
                     's',
--- a/dandelionwinch/tests/test_catalogue.py
+++ b/dandelionwinch/tests/test_catalogue.py
@@ -53,31 +53,31 @@
 
 
 @pytest.mark.parametrize(
-    ('changes', 'repeat', 'streaming'),
+    ('changes', 'retry_policy', 'streaming'),
     [
-        ({}, routes.Repeat.IDEMPOTENT, False),
-        ({'kind': 'non_idempotent'}, routes.Repeat.ONCE, False),
-        ({'kind': 'streaming'}, routes.Repeat.ONCE, True),
+        ({}, routes.RetryPolicy.IDEMPOTENT, False),
+        ({'kind': 'non_idempotent'}, routes.RetryPolicy.ONCE, False),
+        ({'kind': 'streaming'}, routes.RetryPolicy.ONCE, True),
         (
             {'kind': 'streaming', 'resumable': True},
-            routes.Repeat.RESUMABLE,
+            routes.RetryPolicy.RESUMABLE,
             True,
         ),
         (
             {'kind': 'streaming', 'resumable': 'yes'},
-            routes.Repeat.ONCE,
+            routes.RetryPolicy.ONCE,
             True,
         ),
-        ({'kind': 'new_kind'}, routes.Repeat.ONCE, False),
+        ({'kind': 'new_kind'}, routes.RetryPolicy.ONCE, False),
     ],
 )
 def test_what_may_be_repeated_follows_from_the_kind(
-    changes, repeat, streaming
+    changes, retry_policy, streaming
 ):
     value = samples.config(3, [samples.route(**changes)], [samples.service()])
     table = _store_codec.read_config(value)
     route = table.match('desk', '/a/1')
-    assert (table.version, route.repeat) == (3, repeat)
+    assert (table.version, route.retry_policy) == (3, retry_policy)
     assert (route.streaming, route.timeout_s) == (streaming, 1.2)
 
 
--- a/dandelionwinch/tests/test_control.py
+++ b/dandelionwinch/tests/test_control.py
@@ -53,7 +53,7 @@
 
     def serving(self):
         """Returns the ids of the upstreams that get requests."""
-        found = self.gateway.fleet.beliefs.serving('s')
+        found = self.gateway.fleet.registry.serving('s')
         return sorted(upstream.entry.id for upstream in found)
 
     def close(self):
@@ -184,8 +184,8 @@
     async def scenario(node, items):
         await asyncio.sleep(1)
         now = asyncio.get_running_loop().time()
-        upstream = node.gateway.fleet.beliefs.get('i-1')
-        assert (upstream.changing_until > now) is avoided
+        upstream = node.gateway.fleet.registry.get('i-1')
+        assert (upstream.role_change_until > now) is avoided
 
     def setup(items):
         put_upstream(items, 'i-1', phase='decode')
@@ -199,7 +199,7 @@
 
 def put_instances(items, count, capacity=CAPACITY):
     for number in range(count):
-        entry = addresses.Presence(
+        entry = addresses.InstanceEntry(
             f'n{number}', '10.0.0.1:1', 'a', 'north', capacity
         )
         value = json.dumps(attrs.asdict(entry)).encode()
@@ -209,13 +209,13 @@
 def test_instances_that_vanished_are_counted_for_some_time():
     async def scenario(node, items):
         await asyncio.sleep(1)
-        assert node.gateway.fleet.parts == 9
+        assert node.gateway.fleet.instance_count == 9
         for number in range(6):
             items.remove(f'{INSTANCE_PREFIX}n{number}')
         await asyncio.sleep(10)
-        assert node.gateway.fleet.parts == 9
+        assert node.gateway.fleet.instance_count == 9
         await asyncio.sleep(20)
-        assert node.gateway.fleet.parts == 3
+        assert node.gateway.fleet.instance_count == 3
 
     run_node(scenario, lambda items: put_instances(items, 9))
 
@@ -225,9 +225,9 @@
 
     async def scenario(node, items):
         await asyncio.sleep(1)
-        assert node.gateway.fleet.parts == 9
+        assert node.gateway.fleet.instance_count == 9
         await asyncio.sleep(30)
-        assert node.gateway.fleet.parts == 1
+        assert node.gateway.fleet.instance_count == 1
 
     run_node(
         scenario, lambda items: items.put(_order_leader.CAPACITY_KEY, size)
@@ -249,7 +249,7 @@
 def test_the_instance_count_is_by_capacity():
     async def scenario(node, items):
         await asyncio.sleep(1)
-        assert node.gateway.fleet.parts == pytest.approx(2.0)
+        assert node.gateway.fleet.instance_count == pytest.approx(2.0)
 
     run_node(scenario, lambda items: put_instances(items, 20, CAPACITY / 10))
 
@@ -270,7 +270,7 @@
 
 def make_registration(node):
     """Returns a Registration that is not started."""
-    entry = addresses.Presence('a', '127.0.0.1:1', 'dc', 'r')
+    entry = addresses.InstanceEntry('a', '127.0.0.1:1', 'dc', 'r')
     loop = asyncio.get_running_loop()
     return control.Registration(loop, node.store, node.log, entry, 3.0)
 
--- a/dandelionwinch/tests/test_leadership.py
+++ b/dandelionwinch/tests/test_leadership.py
@@ -117,7 +117,7 @@
     entry = upstreams.Entry(
         name, 's', '10.0.0.1:80', data_centre, 1, True, role, 24
     )
-    upstream = upstreams.Belief(entry)
+    upstream = upstreams.Upstream(entry)
     upstream.active = active
     return upstream
 
--- a/dandelionwinch/tests/test_membership.py
+++ b/dandelionwinch/tests/test_membership.py
@@ -176,20 +176,20 @@
         _make_peer('b', 'mid'),
         _make_peer('c', 'mid'),
     ]
-    first = addresses.answer(usable, 'mid', 'team', 2.0)
+    first = addresses.assign(usable, 'mid', 'team', 2.0)
     assert first.instance in ('b', 'c')
     assert first.fallback in ('at-b', 'at-c')
-    assert addresses.answer(usable, 'mid', 'team', 2.0) == first
-    assert addresses.answer(usable, 'nowhere', 'team', 2.0) is not None
-    assert addresses.answer([], 'mid', 'team', 2.0) is None
+    assert addresses.assign(usable, 'mid', 'team', 2.0) == first
+    assert addresses.assign(usable, 'nowhere', 'team', 2.0) is not None
+    assert addresses.assign([], 'mid', 'team', 2.0) is None
 
 
 def test_an_overloaded_instance_is_not_assigned():
     names = ['a', 'b', 'c']
     usable = [_make_peer(name, 'mid') for name in names]
-    first = addresses.answer(usable, 'mid', 'team', 2.0).instance
+    first = addresses.assign(usable, 'mid', 'team', 2.0).instance
     busy = [_make_peer(n, 'mid', 50 if n == first else 2) for n in names]
-    assert addresses.answer(busy, 'mid', 'team', 2.0).instance != first
+    assert addresses.assign(busy, 'mid', 'team', 2.0).instance != first
 
 
 def _peer_at_revision(name, data_centre, revision):
@@ -199,7 +199,7 @@
 
 
 def test_a_change_is_accepted_when_no_old_one_can_be_served():
-    watch = revisions.AcceptanceWatch(7, DATA_CENTRES, cut_off_s=4.0)
+    watch = revisions.RolloutTracker(7, DATA_CENTRES, cut_off_s=4.0)
     peers = [
         _peer_at_revision('a', 'north', 7),
         _peer_at_revision('b', 'mid', 7),
@@ -208,11 +208,11 @@
     assert not watch.observe(peers, 0.0).accepted
     assert not watch.observe(peers, 4.0).accepted
     status = watch.observe(peers, 4.5)
-    assert (status.accepted, status.missing) == (True, ('c',))
+    assert (status.accepted, status.unconfirmed) == (True, ('c',))
 
 
 def test_a_change_is_not_accepted_without_a_majority_of_data_centres():
-    watch = revisions.AcceptanceWatch(7, DATA_CENTRES, cut_off_s=4.0)
+    watch = revisions.RolloutTracker(7, DATA_CENTRES, cut_off_s=4.0)
     peers = [
         _peer_at_revision('a', 'north', 7),
         _peer_at_revision('b', 'mid', 7),
--- a/dandelionwinch/tests/test_upstreams.py
+++ b/dandelionwinch/tests/test_upstreams.py
@@ -14,89 +14,89 @@
 
 
 def test_a_new_start_under_the_old_id_is_another_incarnation():
-    beliefs = upstreams.Beliefs()
-    assert beliefs.apply(entry())
-    beliefs.get('u1').failed(1.0)
-    assert not beliefs.apply(entry(slots=5))
-    assert beliefs.get('u1').failures > 0
-    assert beliefs.apply(entry(born=2))
-    assert beliefs.get('u1').failures == 0
+    registry = upstreams.Registry()
+    assert registry.apply(entry())
+    registry.get('u1').failed(1.0)
+    assert not registry.apply(entry(slots=5))
+    assert registry.get('u1').failures > 0
+    assert registry.apply(entry(born=2))
+    assert registry.get('u1').failures == 0
 
 
 @pytest.mark.parametrize('change', ['draining', 'gone'])
 def test_a_leaving_upstream_gets_nothing_more(change):
-    beliefs = upstreams.Beliefs()
-    beliefs.apply(entry())
+    registry = upstreams.Registry()
+    registry.apply(entry())
     if change == 'draining':
-        beliefs.apply(entry(ready=False))
+        registry.apply(entry(ready=False))
     else:
-        beliefs.remove('u1', 1.0)
-    assert beliefs.serving('s') == []
-    beliefs.apply(entry(born=3))
-    assert [b.entry.born for b in beliefs.serving('s')] == [3]
+        registry.remove('u1', 1.0)
+    assert registry.serving('s') == []
+    registry.apply(entry(born=3))
+    assert [b.entry.born for b in registry.serving('s')] == [3]
 
 
 def test_failures_eject_and_time_brings_back():
-    belief = upstreams.Belief(entry())
+    upstream = upstreams.Upstream(entry())
     for _turn in range(10):
-        belief.failed(1.0)
-    others = [upstreams.Belief(entry(f'u{n}')) for n in range(2, 5)]
-    group = [belief, *others]
-    assert belief not in upstreams.available(group, 1.1)
-    until = belief.ejected_until
-    assert belief in upstreams.available(group, until)
+        upstream.failed(1.0)
+    others = [upstreams.Upstream(entry(f'u{n}')) for n in range(2, 5)]
+    group = [upstream, *others]
+    assert upstream not in upstreams.available(group, 1.1)
+    until = upstream.ejected_until
+    assert upstream in upstreams.available(group, until)
 
 
 def test_at_most_half_are_ejected_when_all_look_bad():
-    group = [upstreams.Belief(entry(f'u{n}')) for n in range(6)]
-    for belief in group:
-        belief.eject(1.0)
+    group = [upstreams.Upstream(entry(f'u{n}')) for n in range(6)]
+    for upstream in group:
+        upstream.eject(1.0)
     assert len(upstreams.available(group, 1.0)) >= 3
 
 
 def test_in_calm_a_vanished_entry_is_gone_at_once():
-    absence = upstreams.Absence()
-    assert absence.vanished(['u1'], 9, 100.0) == ['u1']
+    guard = upstreams.DeregistrationGuard()
+    assert guard.deregistered(['u1'], 9, 100.0) == ['u1']
 
 
 def test_entries_that_lapse_with_the_store_are_held_until_they_are_back():
-    absence = upstreams.Absence()
-    absence.store_failed(100.0)
-    assert absence.vanished(['u1', 'u2'], 9, 101.0) == []
-    absence.returned('u1')
-    assert absence.due(102.0) == []
-    assert absence.due(103.5) == ['u2']
+    guard = upstreams.DeregistrationGuard()
+    guard.store_failed(100.0)
+    assert guard.deregistered(['u1', 'u2'], 9, 101.0) == []
+    guard.registered('u1')
+    assert guard.due(102.0) == []
+    assert guard.due(103.5) == ['u2']
 
 
 def test_a_hold_ends_by_the_outage_not_by_its_discovery():
-    absence = upstreams.Absence()
-    absence.store_failed(100.0)
-    assert absence.vanished(['u1'], 9, 101.5) == []
-    assert absence.next_due_s(101.5) < 1.0
-    assert absence.due(102.3) == ['u1']
+    guard = upstreams.DeregistrationGuard()
+    guard.store_failed(100.0)
+    assert guard.deregistered(['u1'], 9, 101.5) == []
+    assert guard.next_due_s(101.5) < 1.0
+    assert guard.due(102.3) == ['u1']
 
 
 def test_only_the_present_incarnation_serves():
-    beliefs = upstreams.Beliefs()
-    beliefs.apply(entry())
-    old = beliefs.get('u1')
-    assert beliefs.serves(old)
-    beliefs.apply(entry(born=2))
-    assert not beliefs.serves(old)
-    beliefs.apply(entry(born=2, ready=False))
-    assert not beliefs.serves(beliefs.get('u1'))
+    registry = upstreams.Registry()
+    registry.apply(entry())
+    old = registry.get('u1')
+    assert registry.serves(old)
+    registry.apply(entry(born=2))
+    assert not registry.serves(old)
+    registry.apply(entry(born=2, ready=False))
+    assert not registry.serves(registry.get('u1'))
 
 
 def test_many_that_vanish_together_are_held_even_in_calm():
-    absence = upstreams.Absence()
+    guard = upstreams.DeregistrationGuard()
     names = [f'u{n}' for n in range(5)]
-    assert absence.vanished(names, 9, 100.0) == []
-    assert sorted(absence.due(103.0)) == names
+    assert guard.deregistered(names, 9, 100.0) == []
+    assert sorted(guard.due(103.0)) == names
 
 
 def test_a_flapping_upstream_gets_few_requests_while_it_is_down():
     """Replays an upstream that is down and up by turns of two seconds."""
-    group = [upstreams.Belief(entry(f'u{n}')) for n in range(3)]
+    group = [upstreams.Upstream(entry(f'u{n}')) for n in range(3)]
     flapping = group[0]
     failed, served, turn = 0, 0, 0
     for step in range(2000):
--- a/dandelionwinch/upstreams/_absence.py
+++ b/dandelionwinch/upstreams/_absence.py
@@ -6,7 +6,7 @@
 MASS_SHARE = 0.5
 
 
-class Absence:
+class DeregistrationGuard:
     """Decides when a vanished entry means that its upstream is gone.
 
     While the store is away, entries lapse of upstreams that live; those
@@ -25,7 +25,7 @@
         """Notes a failed call of the store."""
         self._back_at = now
 
-    def vanished(self, upstream_ids, known, now):
+    def deregistered(self, upstream_ids, known, now):
         """Takes entries that vanished together.
 
         Args:
@@ -51,7 +51,7 @@
             return None
         return max(0.0, min(self._held.values()) - now)
 
-    def returned(self, upstream_id):
+    def registered(self, upstream_id):
         """Notes that an entry is there."""
         self._held.pop(upstream_id, None)
 
