--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -51,7 +51,7 @@
             body: Bytes of the body.
 
         Returns:
-            Inquiry.
+            CallerRequest.
 
         Raises:
             BadRequest: If the request has no id.
@@ -78,8 +78,8 @@
         """Returns the headers of a request to an upstream, as pairs.
 
         Args:
-            req: Inquiry of the caller.
-            params: Sending of this attempt.
+            req: CallerRequest.
+            params: AttemptParams.
         """
         pairs = list(req.headers)
         pairs.append((TARGET, params.upstream_id))
@@ -95,7 +95,7 @@
         return pairs
 
     def parse_reply(self, head):
-        """Parses the head of an upstream's response to a Reply."""
+        """Parses the head of an upstream's response as ReplyHeaders."""
         return gateway.ReplyHeaders(
             head.header(REQUEST_ID),
             bool(head.header(NOT_EXECUTED)),
--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -115,12 +115,14 @@
     return {**_ROUTE, **changes}
 
 
-def route_of(name, repeat, *, streaming=False, attempts=1, timeout_s=3.0):
+def route_of(
+    name, retry_policy, *, streaming=False, attempts=1, timeout_s=3.0
+):
     """Returns one route of a configuration.
 
     Args:
         name: Name of the route; its prefix is `/name/`.
-        repeat: Repeat of the route.
+        retry_policy: RetryPolicy of the route.
         streaming: Whether its responses are event streams.
         attempts: Maximum number of attempts.
         timeout_s: Timeout of a request in seconds.
@@ -128,7 +130,7 @@
     kind = 'idempotent'
     if streaming:
         kind = 'streaming'
-    elif repeat is routes.RetryPolicy.ONCE:
+    elif retry_policy is routes.RetryPolicy.ONCE:
         kind = 'non_idempotent'
     return route(
         name=name,
@@ -137,7 +139,7 @@
         timeoutMs=int(timeout_s * 1e3),
         targetLatencyMs=200,
         maxAttempts=attempts,
-        resumable=repeat is routes.RetryPolicy.RESUMABLE,
+        resumable=retry_policy is routes.RetryPolicy.RESUMABLE,
         targetGapMs=500,
     )
 
