--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -49,10 +49,10 @@
         """
         core = self._core
         job = jobs.parse_completion(request.path, request.body)
-        core.ask(messages.Admit(request.id, team, job.model))
+        core.request(messages.Admit(request.id, team, job.model))
 
         def finish(state, code, tokens):
-            core.ask(messages.Finish(request.id, state, code, tokens))
+            core.request(messages.Finish(request.id, state, code, tokens))
 
         answer = _AnswerRelay(core, request.id, job)
         try:
@@ -60,7 +60,7 @@
                 return self._stream_response(request, answer, finish)
             return self._whole_response(request, answer, finish)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
@@ -76,7 +76,7 @@
         return listeners.Response(
             content_type=EVENT_STREAM,
             headers={'Cache-Control': 'no-store'},
-            chunks=delivery.Delivery(chunks, finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks, finish, answer.tokens),
         )
 
     @staticmethod
@@ -88,7 +88,7 @@
 
         return listeners.Response(
             headers={'Content-Length': str(len(body))},
-            chunks=delivery.Delivery(chunks(), finish, answer.tokens),
+            chunks=delivery.ResponseStream(chunks(), finish, answer.tokens),
         )
 
 
@@ -101,7 +101,7 @@
         generation: Number of the generation within the job.
     """
 
-    placement: messages.Placed
+    placement: messages.Placement
     generation: int
     transfer: dict | None = None
 
@@ -169,8 +169,8 @@
         if self._target is not None:
             return self._assembly.resume()
         self._generation += 1
-        placement = self._core.ask(
-            messages.DataCentre(
+        placement = self._core.request(
+            messages.PlaceCompletion(
                 self._job_id, self.job, frozenset(self._failed_upstreams)
             )
         )
@@ -291,10 +291,14 @@
 
     def _report_failure(self, upstream, reason):
         self._failed_upstreams.add(upstream)
-        self._core.ask(messages.UpstreamFailed(self._job_id, upstream, reason))
+        self._core.request(
+            messages.UpstreamFailed(self._job_id, upstream, reason)
+        )
 
     def _spend_retry(self, reason):
-        if not self._core.ask(messages.Retry(self._job_id, self.job.model)):
+        if not self._core.request(
+            messages.Retry(self._job_id, self.job.model)
+        ):
             raise self._failure(f'no retries are left after: {reason}')
 
     def _cancel(self):
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -67,7 +67,7 @@
     async def _poll(self):
         core = self._core
         now = core.now()
-        speaks = core.members.me in core.members.speakers(
+        speaks = core.members.local in core.members.delegates(
             core.data_centre, now
         )
         if speaks or now - self._polled_at >= core.cfg.store.poll_s:
@@ -132,7 +132,7 @@
             logger.error('revision {} is not valid: {}', revision, exc)
             return True
         core.catalog = built
-        core.work.adopt(built)
+        core.scheduler.adopt(built)
         core.metrics.revision.set(revision)
         self._follow_own_state()
         core.event('settings.adopted', f'revision {revision}', source)
@@ -144,7 +144,7 @@
         if wanted is None:
             return
         if wanted.state is settings.UpstreamState.ACTIVE:
-            core.members.stay()
+            core.members.cancel_leave()
         else:
             core.members.leave()
 
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -28,7 +28,7 @@
         """Returns the coroutines of this task."""
         timing = self._core.cfg.timing
         rng = self._core.rng
-        period_s = timing.lease_s / orders.STEPS_PER_LEASE
+        period_s = timing.lease_s / orders.RENEWALS_PER_LEASE
         yield _periodic.every(period_s, self._lead, rng)
         yield _periodic.every(timing.load_s, self._carry_out_all, rng)
         yield _periodic.every(1.0, self._renew_drains, rng)
@@ -62,7 +62,7 @@
 
     def _should_lead(self, name, pool, now):
         core = self._core
-        if core.members.me.leaving or core.unready_reason():
+        if core.members.local.leaving or core.unready_reason():
             return False
         usable = core.members.usable(now)
         near = [
@@ -71,10 +71,10 @@
         if not near:
             return False
         best = max(near, key=lambda k: utils.stable_hash(name, k.name))
-        return best is core.members.me
+        return best is core.members.local
 
     async def _renew_or_release(self, name, pool, authority, now):
-        if self._core.members.me.leaving:
+        if self._core.members.local.leaving:
             await self._core.run(authority.release())
             self._core.event('shard.released', name)
         else:
@@ -84,7 +84,7 @@
         core = self._core
         authority = self._authorities.get(name)
         if authority is None:
-            authority = orders.Authority(
+            authority = orders.ShardLease(
                 name, core.name, core.incarnation, core.cfg.timing
             )
             self._authorities[name] = authority
@@ -142,7 +142,7 @@
         conductor = self._conductors.get(authority)
         if conductor is None:
             settle_s = self._core.cfg.timing.gone_margin_s
-            conductor = orders.Conductor(authority, settle_s)
+            conductor = orders.OrderExecutor(authority, settle_s)
             self._conductors[authority] = conductor
         return conductor
 
@@ -181,7 +181,7 @@
     def _wish(self, shard, upstream, role):
         source = self._core.documents.revision_of(f'upstream/{upstream.name}')
         order_id = f'{upstream.name}-{shard.epoch + 1}'
-        return orders.Wish(str(role), source, order_id)
+        return orders.DesiredRole(str(role), source, order_id)
 
     async def _hold(self, upstream_name, order_id):
         core = self._core
@@ -197,15 +197,15 @@
             for name, reply in replies.items()
             if reply is not None
         }
-        names = [k.name for k in core.members.may_live(core.now())]
-        return orders.Hold(tuple(names), reports)
+        names = [k.name for k in core.members.maybe_alive(core.now())]
+        return orders.HoldState(tuple(names), reports)
 
     async def _send(self, authority, upstream, order):
         core = self._core
 
         def send():
             # The lease is checked last, right before the send.
-            if time.monotonic() >= authority.until:
+            if time.monotonic() >= authority.expires_at:
                 return None
             return core.upstreams.order(upstream.address, order)
 
@@ -227,12 +227,12 @@
     async def _plan(self, authority, pool, upstreams):
         core = self._core
         now = core.now()
-        beliefs = [core.work.beliefs.get(r.name) for r in upstreams]
-        beliefs = [b for b in beliefs if b is not None and b.report]
-        if len(beliefs) < len(upstreams) or len(beliefs) < 2:
+        estimates = [core.scheduler.estimates.get(r.name) for r in upstreams]
+        estimates = [b for b in estimates if b is not None and b.report]
+        if len(estimates) < len(upstreams) or len(estimates) < 2:
             return
         change = placement.plan_roles(
-            beliefs,
+            estimates,
             self._rates(pool, now),
             core.catalog.policy_of(pool),
             0,
@@ -246,7 +246,7 @@
         await self._step(authority, upstream, wish)
 
     def _rates(self, pool, now):
-        own = self._core.work.demands(now).get(pool.name)
+        own = self._core.scheduler.demands(now).get(pool.name)
         found = [own] if own else []
         for at, demands in self._core.beats.demands.values():
             if now - at < DEMAND_LIFE_S and pool.name in demands:
@@ -297,4 +297,4 @@
     if load is None:
         return None
     jobs = load.running + load.waiting
-    return orders.Status(load.order_id, load.away, jobs, load.epoch)
+    return orders.UpstreamStatus(load.order_id, load.away, jobs, load.epoch)
--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -4,30 +4,30 @@
 from dandelionwinch.gateway._codec import Head
 from dandelionwinch.gateway._codec import request_bytes
 from dandelionwinch.gateway._connection import ConnectionLost
-from dandelionwinch.gateway._connection import read_whole
+from dandelionwinch.gateway._connection import read_response
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
-from dandelionwinch.gateway._inquiry import Dialect
-from dandelionwinch.gateway._inquiry import Inquiry
-from dandelionwinch.gateway._inquiry import Reply
-from dandelionwinch.gateway._inquiry import Sending
+from dandelionwinch.gateway._inquiry import AttemptParams
+from dandelionwinch.gateway._inquiry import CallerRequest
+from dandelionwinch.gateway._inquiry import ReplyHeaders
+from dandelionwinch.gateway._inquiry import WireCodec
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
 from dandelionwinch.gateway._server import Server
 
 __all__ = [
+    'AttemptParams',
     'BadMessage',
+    'CallerRequest',
     'ConnectionLost',
-    'Dialect',
     'Fleet',
     'Gateway',
     'Head',
-    'Inquiry',
     'NotConnected',
     'Pool',
-    'Reply',
-    'Sending',
+    'ReplyHeaders',
     'Server',
-    'read_whole',
+    'WireCodec',
+    'read_response',
     'request_bytes',
 ]
--- a/dandelionwinch/membership/_departures.py
+++ b/dandelionwinch/membership/_departures.py
@@ -18,7 +18,7 @@
         self._absent_since = {}
         self._incarnations = {}
 
-    def listed(self, names):
+    def list_read(self, names):
         """Takes in a list that was read.
 
         Args:
@@ -28,12 +28,12 @@
         for name in self._names:
             self._absent_since.pop(name, None)
 
-    def unread(self):
+    def list_unavailable(self):
         """Notes that the list was not reached, so nothing is proved."""
         self._names = None
         self._absent_since.clear()
 
-    def restarted(self, name, incarnation):
+    def saw_incarnation(self, name, incarnation):
         """Notes the incarnation that runs under a name."""
         held = self._incarnations.get(name, 0)
         self._incarnations[name] = max(held, incarnation)
@@ -62,6 +62,6 @@
         ]
 
 
-def staffed_data_centres(members):
+def populated_data_centres(members):
     """Returns the names of the data centres that have members."""
     return sorted({known.data_centre for known in members})
--- a/dandelionwinch/placement/_beliefs.py
+++ b/dandelionwinch/placement/_beliefs.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class Belief:
+class LoadEstimate:
     """One upstream: its figures, its last report and what was sent since."""
 
     name: str
@@ -70,7 +70,7 @@
         away = self.report is not None and self.report.away
         return not (self.held or away)
 
-    def note_sent(self, item):
+    def record_sent(self, item):
         """Notes work that was sent here."""
         if len(self.sent) >= SENT_KEPT:
             self._drop_oldest()
@@ -83,7 +83,7 @@
         self.sent_decodes -= item.decodes
         self.sent_kv_tokens -= item.kv_tokens
 
-    def note_report(self, report):
+    def record_report(self, report):
         """Takes a report; what was sent before it is part of it."""
         self.report = report
         self.role = report.role
@@ -151,7 +151,7 @@
         return int(min(self.max_batch * BATCH_MARGIN, by_gap))
 
 
-class Beliefs:
+class LoadEstimates:
     """The beliefs of one instance about all upstreams it may use."""
 
     __slots__ = ('_by_name',)
@@ -204,14 +204,14 @@
             return False
         if belief.report and report.made_at <= belief.report.made_at:
             return False
-        belief.note_report(report)
+        belief.record_report(report)
         return True
 
     def sent(self, name, now, prefill_tokens, kv_tokens, decodes):
         """Notes work that was sent to an upstream."""
         belief = self._by_name.get(name)
         if belief is not None:
-            belief.note_sent(_Sent(now, prefill_tokens, kv_tokens, decodes))
+            belief.record_sent(_Sent(now, prefill_tokens, kv_tokens, decodes))
 
     def quarantined(self, now):
         """Returns the names of upstreams that are left alone now."""
--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -60,15 +60,15 @@
             raise errors.BadRequest(
                 f'method "{request.method}" is not supported'
             )
-        core.ask(messages.Admit(request.id, team, name))
+        core.request(messages.Admit(request.id, team, name))
 
         def finish(state, code, tokens):
-            core.ask(messages.Finish(request.id, state, code, tokens))
+            core.request(messages.Finish(request.id, state, code, tokens))
 
         try:
             answer, headers = self._relay(request, name, path)
         except errors.DandelionwinchError as exc:
-            finish(delivery.state_of(exc), exc.code, 0)
+            finish(delivery.final_state(exc), exc.code, 0)
             raise
         except BaseException:
             finish('unknown', 'internal', 0)
@@ -76,7 +76,9 @@
         return _response(answer, headers, finish)
 
     def _relay(self, request, name, path):
-        placement = self._core.ask(messages.PlaceService(request.id, name))
+        placement = self._core.request(
+            messages.PlaceService(request.id, name)
+        )
         service = placement.service
         at_most_once = service.repeat is settings.Repeat.ONCE
         key = request.header('idempotency-key')
@@ -110,7 +112,7 @@
             left_s = deadline - time.monotonic()
             if left_s <= 0:
                 break
-            if attempt and not self._core.ask(
+            if attempt and not self._core.request(
                 messages.Retry(call.request_id, service.name)
             ):
                 break
@@ -118,7 +120,7 @@
             if _is_relayable(answer):
                 return answer
             reason = _failure_reason(answer)
-            self._core.ask(
+            self._core.request(
                 messages.UpstreamFailed(call.request_id, upstream.name, reason)
             )
         exc = errors.UpstreamFailed(
@@ -144,7 +146,7 @@
         done, _pending = concurrent.futures.wait([first], HEDGE_DELAY_S)
         if done:
             return first.result()
-        if not self._core.ask(
+        if not self._core.request(
             messages.Retry(call.request_id, self._hedge_target(call))
         ):
             return first.result()
@@ -222,13 +224,13 @@
     def _execute(self, request):
         match request:
             case claims.OpenClaim(mutation=mutation):
-                return self._core.ask(messages.OpenClaim(mutation))
+                return self._core.request(messages.OpenClaim(mutation))
             case claims.SendCall():
                 return self._send()
             case claims.QueryOutcome():
                 return self._query_outcome()
             case claims.CloseClaim(mutation=mutation):
-                return self._core.ask(messages.CloseClaim(mutation))
+                return self._core.request(messages.CloseClaim(mutation))
         raise TypeError(f'"{request!r}" is not a request of run_at_most_once')
 
     def _send(self):
@@ -239,7 +241,7 @@
         )
         if _is_relayable(answer):
             return claims.SendResult(True, answer)
-        self._core.ask(
+        self._core.request(
             messages.UpstreamFailed(
                 self._call.request_id, upstream.name, _failure_reason(answer)
             )
@@ -339,5 +341,5 @@
         answer.status,
         content_type=answer.content_type or 'application/octet-stream',
         headers={**headers, 'Content-Length': str(len(body))},
-        chunks=delivery.Delivery(chunks(), finish, lambda: 1),
+        chunks=delivery.ResponseStream(chunks(), finish, lambda: 1),
     )
--- a/dandelionwinch/upstreams/_beliefs.py
+++ b/dandelionwinch/upstreams/_beliefs.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class Belief:
+class Upstream:
     """One upstream as this instance sees it.
 
     Attributes:
@@ -60,7 +60,7 @@
     failures: float = 0.0
     excess_s: float = 0.0
     active: int = 0
-    changing_until: float = 0.0
+    role_change_until: float = 0.0
     ejected_until: float = 0.0
     ejections: int = 0
     observed_at: float = 0.0
@@ -100,7 +100,7 @@
         self.failures = EJECT_FAILURES - FAILURE_SHARE / 2
 
 
-class Beliefs:
+class Registry:
     """All upstreams, by id."""
 
     __slots__ = ('_by_id', '_by_service', '_lost_at')
@@ -126,7 +126,7 @@
             belief.entry = entry
             belief.gone_at = None
         else:
-            self._by_id[entry.id] = Belief(entry)
+            self._by_id[entry.id] = Upstream(entry)
         self._index()
         return not same
 
