--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -76,9 +76,7 @@
         return _response(answer, headers, finish)
 
     def _relay(self, request, name, path):
-        placement = self._core.request(
-            messages.PlaceService(request.id, name)
-        )
+        placement = self._core.request(messages.PlaceService(request.id, name))
         service = placement.service
         at_most_once = service.repeat is settings.Repeat.ONCE
         key = request.header('idempotency-key')
