--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -32,13 +32,13 @@
         self._core = daemon.Core(cfg)
         self._completion_relay = completion_relay.CompletionRelay(self._core)
         self._service_relay = service_relay.ServiceRelay(self._core)
-        self._clients = listeners.Listener(
+        self._client_listener = listeners.Listener(
             cfg.instance.client_address,
             self._serve_client,
             cfg.relay.threads,
             cfg,
         )
-        self._operators = listeners.Listener(
+        self._operator_listener = listeners.Listener(
             cfg.instance.operator_address,
             self._serve_operator,
             OPERATOR_THREADS,
@@ -52,10 +52,10 @@
         return self._core
 
     def start(self):
-        """Starts the core, then the listeners, that of clients last."""
+        """Starts the core, then the listeners; the client listener last."""
         self._core.start()
-        self._operators.start()
-        self._clients.start()
+        self._operator_listener.start()
+        self._client_listener.start()
         logger.info('serving clients on {}', self._cfg.instance.client_address)
 
     def stop(self):
@@ -69,8 +69,8 @@
 
     def close(self):
         """Closes the listeners and the core without draining."""
-        self._clients.close()
-        self._operators.close()
+        self._client_listener.close()
+        self._operator_listener.close()
         self._service_relay.close()
         self._core.close()
         logger.info('stopped')
@@ -84,7 +84,7 @@
             case ('GET', '/v1/address'):
                 return self._address(request, team)
             case ('GET', '/v1/models'):
-                return self._models()
+                return self._list_models()
             case ('POST', path) if path in _COMPLETION_PATHS:
                 return self._completion_relay.serve(request, team)
             case (_, path) if path.startswith(_SERVICE_PREFIX):
@@ -126,7 +126,7 @@
             headers={'Cache-Control': f'max-age={int(found.valid_s)}'},
         )
 
-    def _models(self):
+    def _list_models(self):
         models = [
             {'id': model.name, 'object': 'model'}
             for model in self._core.catalog.all('model')
