--- a/dandelionwinch/attempts/__init__.py
+++ b/dandelionwinch/attempts/__init__.py
@@ -1,10 +1,10 @@
-"""What follows an attempt: another one, or a truthful final answer."""
+"""Decides on retries and on the final status of a request."""
 
-from dandelionwinch.attempts._budget import SharedRetryBudget
-from dandelionwinch.attempts._verdict import AttemptOutcome
-from dandelionwinch.attempts._verdict import final_status
-from dandelionwinch.attempts._verdict import FinalStatus
-from dandelionwinch.attempts._verdict import may_retry
+from dandelionwinch.attempts._outcome import AttemptOutcome
+from dandelionwinch.attempts._outcome import final_status
+from dandelionwinch.attempts._outcome import FinalStatus
+from dandelionwinch.attempts._outcome import may_retry
+from dandelionwinch.attempts._retry_budget import SharedRetryBudget
 
 __all__ = [
     'AttemptOutcome',
