--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -7,10 +7,10 @@
 from dandelionwinch.gateway._connection import read_response
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
-from dandelionwinch.gateway._inquiry import AttemptParams
-from dandelionwinch.gateway._inquiry import CallerRequest
-from dandelionwinch.gateway._inquiry import Dialect
-from dandelionwinch.gateway._inquiry import ReplyHeaders
+from dandelionwinch.gateway._messages import AttemptParams
+from dandelionwinch.gateway._messages import CallerRequest
+from dandelionwinch.gateway._messages import Dialect
+from dandelionwinch.gateway._messages import ReplyHeaders
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
 from dandelionwinch.gateway._server import Server
--- a/dandelionwinch/gateway/_call.py
+++ b/dandelionwinch/gateway/_call_handler.py
@@ -1,10 +1,10 @@
 """A call of a plain service: one upstream, one whole answer."""
 
 from dandelionwinch import dispatch
-from dandelionwinch.gateway import _exchange
+from dandelionwinch.gateway import _request_handler
 
 
-class Call(_exchange.Exchange):
+class Call(_request_handler.Exchange):
     """Serves one call of a plain service."""
 
     __slots__ = ()
--- a/dandelionwinch/gateway/_codec.py
+++ b/dandelionwinch/gateway/_codec.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages by httptools, as typed heads and bodies."""
+"""HTTP/1.1 codec: parses with httptools and serializes messages."""
 
 import attrs
 import httptools
@@ -20,7 +20,7 @@
         'content-length',
     )
 )
-REASONS = {
+REASON_PHRASES = {
     100: 'Continue',
     200: 'OK',
     204: 'No Content',
@@ -39,21 +39,21 @@
 
 
 class BadMessage(errors.DandelionwinchError):
-    """The peer sent bytes that are not a message of the protocol."""
+    """The peer sent bytes that violate HTTP."""
 
     code = 'bad_message'
     status = 400
 
 
 class HeadTooLarge(BadMessage):
-    """The head of a message is over its limit."""
+    """The head of a message exceeds its limit."""
 
     code = 'head_too_large'
     status = 431
 
 
 class BodyTooLarge(BadMessage):
-    """The body of a message is over its limit."""
+    """The body of a message exceeds its limit."""
 
     code = 'body_too_large'
     status = 413
@@ -61,10 +61,14 @@
 
 @attrs.frozen
 class Head:
-    """Start line and headers; `status` is 0 for requests.
+    """Start line and headers of a message.
 
     Attributes:
-        headers: Pairs of lower-case name and value, in their order.
+        method: Method of a request, '' in responses.
+        target: Target of a request with its query, '' in responses.
+        status: Status of a response, 0 in requests.
+        headers: Pairs of lower-case name and value, in order of receipt.
+        keep_alive: Whether the connection persists after this message.
     """
 
     method: str
@@ -86,40 +90,40 @@
         return self.target.partition('?')[0]
 
     def end_to_end(self):
-        """Returns the headers that do not concern one connection only."""
-        named = self.header('connection').lower()
-        dropped = {item.strip() for item in named.split(',')} | HOP_BY_HOP
+        """Returns the headers without the hop-by-hop ones (RFC 9110)."""
+        listed = self.header('connection').lower()
+        dropped = {item.strip() for item in listed.split(',')} | HOP_BY_HOP
         return [pair for pair in self.headers if pair[0] not in dropped]
 
 
 class _Parser:
-    """Collects one message at a time and hands it to a sink.
+    """Parses a stream of messages and passes their parts to a sink.
 
     The sink has `on_head(head)`, `on_body(data)` and `on_end()`.
     """
 
     __slots__ = (
+        '_head_bytes',
         '_headers',
         '_parser',
         '_sink',
-        '_size',
         '_target',
         'max_head_bytes',
     )
 
     def __init__(self, sink, max_head_bytes):
         self._sink = sink
-        self._parser = self._make()
+        self._parser = self._new_parser()
         self._headers = []
         self._target = b''
-        self._size = 0
+        self._head_bytes = 0
         self.max_head_bytes = max_head_bytes
 
     def feed(self, data):
-        """Parses bytes.
+        """Parses received bytes.
 
         Raises:
-            BadMessage: If they break the protocol.
+            BadMessage: If they violate HTTP, or the sink rejects them.
         """
         try:
             self._parser.feed_data(data)
@@ -135,20 +139,20 @@
     def on_message_begin(self):
         self._headers = []
         self._target = b''
-        self._size = 0
+        self._head_bytes = 0
 
     def on_url(self, url):
         self._target += url
-        self._grow(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name, value):
-        self._grow(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
         pair = (name.decode('latin-1').lower(), value.decode('latin-1'))
         self._headers.append(pair)
 
-    def _grow(self, size):
-        self._size += size
-        if self._size > self.max_head_bytes:
+    def _count_head_bytes(self, size):
+        self._head_bytes += size
+        if self._head_bytes > self.max_head_bytes:
             raise HeadTooLarge(f'the head is over {self.max_head_bytes} bytes')
 
     def on_body(self, body):
@@ -159,11 +163,11 @@
 
 
 class RequestParser(_Parser):
-    """Parses callers' requests."""
+    """Parses requests of callers."""
 
     __slots__ = ()
 
-    def _make(self):
+    def _new_parser(self):
         return httptools.HttpRequestParser(self)
 
     def on_headers_complete(self):
@@ -178,15 +182,15 @@
 
 
 class ResponseParser(_Parser):
-    """Parses upstreams' responses."""
+    """Parses responses of upstreams."""
 
     __slots__ = ()
 
-    def _make(self):
+    def _new_parser(self):
         return httptools.HttpResponseParser(self)
 
     def on_status(self, status):
-        self._grow(len(status))
+        self._count_head_bytes(len(status))
 
     def on_headers_complete(self):
         head = Head(
@@ -200,7 +204,7 @@
 
 
 def request_bytes(method, target, headers, body):
-    """Returns a whole request with its length."""
+    """Serializes a request; adds Content-Length where it has a body."""
     lines = [f'{method} {target} HTTP/1.1']
     lines += [f'{name}: {value}' for name, value in headers]
     if body or method in ('POST', 'PUT', 'PATCH'):
@@ -209,15 +213,15 @@
 
 
 def response_head(status, headers):
-    """Returns the head of a response."""
-    reason = REASONS.get(status, 'Status')
+    """Serializes the head of a response."""
+    reason = REASON_PHRASES.get(status, 'Status')
     lines = [f'HTTP/1.1 {status} {reason}']
     lines += [f'{name}: {value}' for name, value in headers]
     return '\r\n'.join(lines).encode('latin-1') + b'\r\n\r\n'
 
 
-def chunk(data):
-    """Returns one chunk of a chunked body."""
+def encode_chunk(data):
+    """Serializes one chunk of a chunked body."""
     return b'%x\r\n%b\r\n' % (len(data), data)
 
 
--- a/dandelionwinch/gateway/_connection.py
+++ b/dandelionwinch/gateway/_connection.py
@@ -1,4 +1,4 @@
-"""A client connection: one request at a time, answers as typed items."""
+"""HTTP/1.1 client connection with one request in flight."""
 
 import asyncio
 import collections
@@ -9,14 +9,16 @@
 from dandelionwinch.gateway import _codec
 
 MAX_HEAD_BYTES = 65536
+# Subtracted from the idle timeout that the server states, so that no
+# request is sent on a connection that the server is about to close.
 IDLE_MARGIN_S = 0.3
-DEFAULT_IDLE_S = 4.0
-READ_AHEAD_BYTES = 1 << 18
-NO_BODY = (204, 304)
+DEFAULT_IDLE_TIMEOUT_S = 4.0
+MAX_READ_AHEAD_BYTES = 1 << 18
+NO_BODY_STATUSES = (204, 304)
 
 
-class Loss(enum.Enum):
-    """Why a connection brought no whole response."""
+class LossCause(enum.Enum):
+    """Why a connection delivered no complete response."""
 
     CLOSED = 'closed'
     GARBLED = 'garbled'
@@ -24,44 +26,54 @@
 
 
 class ConnectionLost(Exception):
-    """The response is not whole and never will be.
+    """The connection failed before the response was complete.
 
     Attributes:
-        loss: How it was lost.
+        cause: LossCause of the failure.
     """
 
-    def __init__(self, loss, reason):
+    def __init__(self, cause, reason):
         super().__init__(reason)
-        self.loss = loss
+        self.cause = cause
 
 
 @attrs.frozen
 class Data:
-    """Bytes of a response's body."""
+    """Bytes of the body of a response."""
 
     data: bytes
 
 
 @attrs.frozen
 class End:
-    """The response is whole."""
+    """End of a complete response."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection to an upstream or to the store."""
+    """A reusable connection to an upstream or to the store.
+
+    Parsed responses are queued as items (Head, Data, End). Reading from
+    the socket pauses while more than MAX_READ_AHEAD_BYTES of body wait
+    in the queue.
+
+    Attributes:
+        busy: Whether a request is in flight.
+        idle_until: Loop time until which the connection may be reused.
+        used: Number of requests sent on it.
+    """
 
     __slots__ = (
+        '_body_until_close',
         '_buffered',
         '_exc',
-        '_inbox',
         '_interim',
-        '_keep',
+        '_items',
+        '_keep_alive',
         '_loop',
-        '_paused',
+        '_no_reuse',
         '_parser',
-        '_spoiled',
+        '_paused',
         '_transport',
-        '_until_close',
         '_waiter',
         'busy',
         'idle_until',
@@ -72,13 +84,13 @@
         self._loop = loop
         self._transport = None
         self._parser = _codec.ResponseParser(self, MAX_HEAD_BYTES)
-        self._inbox = collections.deque()
+        self._items = collections.deque()
         self._waiter = None
         self._exc = None
-        self._keep = False
+        self._keep_alive = False
         self._interim = False
-        self._spoiled = False
-        self._until_close = False
+        self._no_reuse = False
+        self._body_until_close = False
         self._buffered = 0
         self._paused = False
         self.busy = False
@@ -86,39 +98,39 @@
         self.used = 0
 
     def connection_made(self, transport):
-        """Keeps the transport."""
+        """Stores the transport."""
         self._transport = transport
 
     def data_received(self, data):
-        """Parses bytes; bytes that nobody asked for end the connection."""
+        """Parses received bytes; fails if no request is in flight."""
         if not self.busy:
-            self._fail(Loss.GARBLED, 'bytes without a request')
+            self._fail(LossCause.GARBLED, 'bytes without a request')
             return
         try:
             self._parser.feed(data)
         except _codec.BadMessage as exc:
-            self._fail(Loss.GARBLED, exc.message)
+            self._fail(LossCause.GARBLED, exc.message)
 
     def on_head(self, head):
-        """Takes the head of a response."""
+        """Queues the head of a response; skips interim (1xx) responses."""
         self._interim = head.status < 200
         if self._interim:
             return
         if not self.busy:
-            self._fail(Loss.GARBLED, 'a second response to one request')
+            self._fail(LossCause.GARBLED, 'a second response to one request')
             return
-        self._keep = head.keep_alive
+        self._keep_alive = head.keep_alive
         framed = (
             head.header('content-length')
             or head.header('transfer-encoding')
-            or head.status in NO_BODY
+            or head.status in NO_BODY_STATUSES
         )
-        self._until_close = not framed
-        self._note_idle(head)
-        self._put(head)
+        self._body_until_close = not framed
+        self._set_idle_deadline(head)
+        self._queue_item(head)
 
-    def _note_idle(self, head):
-        idle_s = DEFAULT_IDLE_S
+    def _set_idle_deadline(self, head):
+        idle_s = DEFAULT_IDLE_TIMEOUT_S
         for item in head.header('keep-alive').split(','):
             name, _, value = item.strip().partition('=')
             if name.lower() == 'timeout' and value.isdigit():
@@ -126,37 +138,37 @@
         self.idle_until = self._loop.time() + idle_s
 
     def on_body(self, data):
-        """Takes bytes of a body."""
+        """Queues bytes of a body; pauses reading if the queue is full."""
         self._buffered += len(data)
-        if self._buffered > READ_AHEAD_BYTES and not self._paused:
+        if self._buffered > MAX_READ_AHEAD_BYTES and not self._paused:
             self._paused = True
             self._transport.pause_reading()
-        self._put(Data(data))
+        self._queue_item(Data(data))
 
     def on_end(self):
-        """Takes the end of a response."""
+        """Queues the end of a response."""
         if self.busy and not self._interim:
-            self._put(End())
+            self._queue_item(End())
 
     def eof_received(self):
-        """A clean end completes a body that has no length."""
-        if self.busy and self._until_close:
-            self._until_close = False
-            self._keep = False
-            self._put(End())
-        self._fail(Loss.CLOSED, 'the peer closed the connection')
+        """Completes a body without a length, which ends with the stream."""
+        if self.busy and self._body_until_close:
+            self._body_until_close = False
+            self._keep_alive = False
+            self._queue_item(End())
+        self._fail(LossCause.CLOSED, 'the peer closed the connection')
 
     def connection_lost(self, exc):
-        """Fails what is still waited for."""
-        self._fail(Loss.CLOSED, str(exc or 'the connection is closed'))
+        """Fails a response that is still awaited."""
+        self._fail(LossCause.CLOSED, str(exc or 'the connection is closed'))
 
-    def _put(self, item):
-        self._inbox.append(item)
+    def _queue_item(self, item):
+        self._items.append(item)
         self._wake()
 
-    def _fail(self, loss, reason):
+    def _fail(self, cause, reason):
         if self._exc is None:
-            self._exc = ConnectionLost(loss, reason)
+            self._exc = ConnectionLost(cause, reason)
         self._wake()
         self.abort()
 
@@ -167,39 +179,40 @@
 
     @property
     def usable(self):
-        """Tells whether a further request may be sent on it."""
+        """Tells whether the connection is open and has not failed."""
         return self._exc is None and not self._transport.is_closing()
 
     def send(self, data):
         """Sends a request.
 
         Args:
-            data: The whole request.
+            data: Bytes of the complete request.
         """
         self.busy = True
         self.used += 1
-        self._keep = False
-        self._until_close = False
+        self._keep_alive = False
+        self._body_until_close = False
         self._transport.write(data)
 
     async def next_item(self, timeout_s):
         """Returns the next Head, Data or End of the response.
 
         Raises:
-            ConnectionLost: If the response broke off or time is over.
+            ConnectionLost: If the connection failed, or no item arrived
+                within `timeout_s`.
         """
-        while not self._inbox:
+        while not self._items:
             if self._exc is not None:
                 raise self._exc
             await self._wait(timeout_s)
-        item = self._inbox.popleft()
+        item = self._items.popleft()
         if isinstance(item, Data):
-            self._took(len(item.data))
+            self._consumed(len(item.data))
         return item
 
     async def _wait(self, timeout_s):
         if timeout_s <= 0:
-            raise ConnectionLost(Loss.SILENT, 'no time is left')
+            raise ConnectionLost(LossCause.SILENT, 'no time is left')
         self._waiter = self._loop.create_future()
         handle = self._loop.call_later(timeout_s, self._expire, self._waiter)
         try:
@@ -209,24 +222,28 @@
 
     def _expire(self, waiter):
         if not waiter.done():
-            exc = ConnectionLost(Loss.SILENT, 'the peer has gone silent')
+            exc = ConnectionLost(LossCause.SILENT, 'the peer has gone silent')
             waiter.set_exception(exc)
 
-    def _took(self, size):
+    def _consumed(self, size):
         self._buffered -= size
-        if self._paused and self._buffered < READ_AHEAD_BYTES // 2:
+        if self._paused and self._buffered < MAX_READ_AHEAD_BYTES // 2:
             self._paused = False
             if not self._transport.is_closing():
                 self._transport.resume_reading()
 
-    def spoil(self):
-        """Keeps the connection from being used for another request."""
-        self._spoiled = True
+    def forbid_reuse(self):
+        """Prevents reuse for another request."""
+        self._no_reuse = True
 
     def finish(self):
-        """Ends the exchange; tells whether the connection may be reused."""
+        """Ends the request; tells whether the connection is reusable."""
         self.busy = False
-        if self._inbox or self._spoiled or not (self._keep and self.usable):
+        if (
+            self._items
+            or self._no_reuse
+            or not (self._keep_alive and self.usable)
+        ):
             self.abort()
             return False
         return True
@@ -238,10 +255,11 @@
 
 
 async def read_response(conn, timeout_s):
-    """Returns head and body of the next answer on a connection.
+    """Returns head and body of the next response on a connection.
 
     Raises:
-        ConnectionLost: If it broke off or took longer than `timeout_s`.
+        ConnectionLost: If the connection failed, or the response was not
+            complete within `timeout_s`.
     """
     deadline = asyncio.get_running_loop().time() + timeout_s
     body = bytearray()
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -6,9 +6,9 @@
 from dandelionwinch import attempts
 from dandelionwinch import dispatch
 from dandelionwinch import errors
-from dandelionwinch.gateway import _call
+from dandelionwinch.gateway import _call_handler
 from dandelionwinch.gateway import _fleet
-from dandelionwinch.gateway import _generation
+from dandelionwinch.gateway import _generation_handler
 from dandelionwinch.gateway import _metrics
 
 NO_ROUTES_RETRY_S = 0.5
@@ -70,7 +70,7 @@
             self._refuse(caller, incoming, exc.status, exc.message)
         except Exception:
             self.log.event('gateway.fault', trace=traceback.format_exc())
-            caller.cut()
+            caller.abort()
         finally:
             self.active -= 1
 
@@ -86,10 +86,10 @@
             self._refuse(caller, incoming, 404, 'no route matches')
             return
         req = self.dialect.parse_request(head, bytes(incoming.body))
-        kind = _call.Call
+        kind = _call_handler.Call
         if route.streaming and req.prompt is not None:
-            kind = _generation.Generation
-        exchange = kind(self, req, route, caller, incoming.at)
+            kind = _generation_handler.Generation
+        exchange = kind(self, req, route, caller, incoming.received_at)
         try:
             await exchange.run()
         except BaseException as exc:
@@ -154,7 +154,7 @@
             'first_event': exchange.first_event_s,
             'end': taken_s,
         }
-        self.metrics.ended(name, status, exchange.outcome, stages)
+        self.metrics.record_response(name, status, exchange.outcome, stages)
         self.log.event(
             'request.answered',
             request=exchange.request_id,
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -9,15 +9,15 @@
 from dandelionwinch import attempts
 from dandelionwinch import dispatch
 from dandelionwinch.gateway import _connection
-from dandelionwinch.gateway import _conversation
-from dandelionwinch.gateway import _events
-from dandelionwinch.gateway import _exchange
+from dandelionwinch.gateway import _request_handler
+from dandelionwinch.gateway import _sse
+from dandelionwinch.gateway import _upstream_exchange
 
 PREFILL_SILENCE_FACTOR = 3.0
 RETURNED_SHARE = 0.85
 
 
-class Generation(_exchange.Exchange):
+class Generation(_request_handler.Exchange):
     """Serves one generation on model engines."""
 
     __slots__ = ()
@@ -74,9 +74,9 @@
         try:
             async with self._talk(belief, pool, conn) as talk:
                 handle = await self._ask_prefill(talk, params, placement.lane)
-        except _conversation.AttemptFailed as exc:
+        except _upstream_exchange.AttemptFailed as exc:
             self._attempt += 1
-            raise _conversation.AttemptFailed(
+            raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.NOT_EXECUTED, f'prefill: {exc}'
             ) from exc
         return f'{belief.entry.address}/{handle}'
@@ -89,12 +89,12 @@
         head = await talk.head(patience_s)
         body = await talk.body(patience_s)
         reply = self._gateway.dialect.parse_reply(head)
-        handle = self._gateway.dialect.parse_kv_handle(body)
+        handle = self._gateway.dialect.kv_handle(body)
         if head.status != 200 or not handle:
             fate = attempts.AttemptOutcome.UNKNOWN
             if reply.not_executed:
                 fate = attempts.AttemptOutcome.NOT_EXECUTED
-            raise _conversation.AttemptFailed(
+            raise _upstream_exchange.AttemptFailed(
                 fate, f'status {head.status}, no handle'
             )
         return handle
@@ -114,9 +114,11 @@
     async def _decode(self, placement, source, began):
         try:
             await self._answer_at(placement, source, began)
-        except _conversation.AttemptFailed as exc:
+        except _upstream_exchange.AttemptFailed as exc:
             gone = source and exc.fate is attempts.AttemptOutcome.NOT_EXECUTED
-            if not gone or isinstance(exc, _conversation.NoFurtherAttempt):
+            if not gone or isinstance(
+                exc, _upstream_exchange.NoFurtherAttempt
+            ):
                 raise
             # The handle may be gone; the engine can read the prompt itself.
             self._fates.append(exc.fate)
@@ -145,7 +147,7 @@
         if head.status != 200 or not reply.signed or reply.not_executed:
             await self._whole_failure(talk, head, placement.decode, patience_s)
             return
-        splitter = _events.Splitter()
+        splitter = _sse.EventSplitter()
         last_at = None
         while True:
             item = await talk.item(patience_s)
@@ -162,15 +164,15 @@
                     )
                 last_at = now
                 await self._deliver(head, event)
-        if splitter.torn:
-            raise _conversation.AttemptFailed(
+        if splitter.incomplete:
+            raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.UNKNOWN, 'a torn event'
             )
         self._end_stream(head, placement)
 
     def _end_stream(self, head, placement):
         if not self._streaming:
-            self._caller.begin_stream(200, head.end_to_end())
+            self._caller.start_stream(200, head.end_to_end())
         self._caller.end_stream()
         placement.decode.succeeded(
             placement.decode.excess_s, self._loop.time()
@@ -183,20 +185,20 @@
         try:
             return splitter.feed(data)
         except ValueError as exc:
-            raise _conversation.AttemptFailed(
+            raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.UNKNOWN, str(exc)
             ) from exc
 
     async def _deliver(self, head, event):
-        if event.number is not None:
+        if event.event_id is not None:
             last = self._last_event
-            if last is not None and event.number <= last:
+            if last is not None and event.event_id <= last:
                 return
-            self._last_event = event.number
+            self._last_event = event.event_id
         if not self._streaming:
             self._streaming = True
-            self._caller.begin_stream(200, head.end_to_end())
-        await self._caller.send(event.data)
+            self._caller.start_stream(200, head.end_to_end())
+        await self._caller.send_chunk(event.data)
 
     def _started(self, placement, began):
         now = self._loop.time()
@@ -205,10 +207,10 @@
 
     async def _whole_failure(self, talk, head, belief, patience_s):
         """Reads an answer that is not a stream of events."""
-        answer = _conversation.Answer(head, await talk.body(patience_s))
+        answer = _upstream_exchange.Answer(head, await talk.body(patience_s))
         talk.check_executed(answer)
         if self._streaming:
-            raise _conversation.AttemptFailed(
+            raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.FAILED,
                 f'status {head.status} on resumption',
             )
--- /dev/null
+++ b/dandelionwinch/gateway/_messages.py
@@ -0,0 +1,89 @@
+"""Requests and replies as the gateway sees them, and their codec."""
+
+import typing
+
+import attrs
+
+from dandelionwinch import dispatch
+
+
+@attrs.frozen
+class CallerRequest:
+    """A caller's request, as parsed by a Dialect.
+
+    Attributes:
+        id: Id of the request.
+        target: Path and query.
+        headers: Headers to forward, as pairs.
+        timeout_s: Timeout that the caller states, or None.
+        prompt: The prompt of a generation, or None.
+        last_event_id: Id of the last event that the caller received, or
+            None.
+    """
+
+    id: str
+    method: str
+    target: str
+    headers: tuple[tuple[str, str], ...]
+    body: bytes
+    timeout_s: float | None
+    prompt: dispatch.Prompt | None = None
+    last_event_id: int | None = None
+
+
+@attrs.frozen
+class AttemptParams:
+    """Parameters of one attempt, sent along with the caller's request.
+
+    Attributes:
+        upstream_id: The only upstream that may execute the request.
+        timeout_s: Time that remains until the deadline.
+        urgency: 0 (highest) to 9, None for the default of the upstream.
+        prefill_only: Whether to prefill the prompt without decoding.
+        kv_source: Address and handle of the KV cache of a prefilled
+            prompt, or ''.
+        last_event_id: Id of the last event delivered to the caller, or
+            None.
+    """
+
+    upstream_id: str
+    timeout_s: float
+    urgency: int | None = None
+    prefill_only: bool = False
+    kv_source: str = ''
+    last_event_id: int | None = None
+
+
+@attrs.frozen
+class ReplyHeaders:
+    """Platform headers of an upstream's response.
+
+    Attributes:
+        request_id: Id of the request that it answers, or ''.
+        not_executed: Whether the upstream states that it did not execute
+            the request.
+        signed: Whether it carries the upstream's signature.
+    """
+
+    request_id: str
+    not_executed: bool
+    signed: bool
+
+
+class Dialect(typing.Protocol):
+    """Codec between the platform's headers and the gateway's types."""
+
+    def parse_request(self, head, body):
+        """Parses a request to a CallerRequest, or raises BadRequest."""
+
+    def request_headers(self, req, params):
+        """Returns the headers of a request to an upstream, as pairs."""
+
+    def parse_reply(self, head):
+        """Parses a response head to ReplyHeaders."""
+
+    def kv_handle(self, body):
+        """Returns the KV cache handle in a prefill response, or ''."""
+
+    def retry_after_headers(self, wait_s):
+        """Returns headers that ask for a retry after `wait_s`, as pairs."""
--- a/dandelionwinch/gateway/_metrics.py
+++ b/dandelionwinch/gateway/_metrics.py
@@ -2,11 +2,11 @@
 
 import prometheus_client
 
-SECONDS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 2, 5, 15)
+LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 2, 5, 15)
 
 
 class Metrics:
-    """The metrics of one gateway, in a registry of its own."""
+    """Metrics of one gateway, in a Prometheus registry of their own."""
 
     __slots__ = ('answers', 'attempts', 'registry', 'seconds')
 
@@ -29,18 +29,18 @@
             'dandelionwinch_gateway_seconds',
             'Time from a whole request to a stage of its answer',
             ['route', 'stage', 'outcome'],
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS_S,
             registry=registry,
         )
 
-    def ended(self, route, status, outcome, stages):
-        """Notes the final answer of a request.
+    def record_response(self, route, status, outcome, stages):
+        """Records the final response to a request.
 
         Args:
             route: Name of the route.
-            status: Status of the answer, 0 if it was cut.
-            outcome: What became of it.
-            stages: Seconds by stage; a stage that was not reached has 0.
+            status: Status of the response, 0 if it was aborted.
+            outcome: Outcome of the request, as in `RequestHandler`.
+            stages: Seconds by stage, 0 for a stage that was not reached.
         """
         self.answers.labels(route, str(status)).inc()
         for stage, taken_s in stages.items():
@@ -49,5 +49,5 @@
                 self.seconds.labels(*labels).observe(taken_s)
 
     def text(self):
-        """Returns all metrics in the text format."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/dandelionwinch/gateway/_pool.py
+++ b/dandelionwinch/gateway/_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one address: reused, limited, and waited for."""
+"""Pool of client connections to one address."""
 
 import asyncio
 import collections
@@ -9,15 +9,20 @@
 
 
 class NotConnected(Exception):
-    """No connection could be made; nothing was sent."""
+    """No connection could be established; nothing was sent."""
 
 
 class PoolBusy(NotConnected):
-    """All connections that are allowed carry requests."""
+    """All permitted connections are in use; nothing was sent."""
 
 
 class Pool:
-    """Connections to one address, up to a limit."""
+    """Reuses connections to one address, up to a limit.
+
+    Attributes:
+        limit: Maximum number of open connections.
+        open: Number of open connections, idle ones included.
+    """
 
     __slots__ = ('_address', '_idle', '_loop', '_waiters', 'limit', 'open')
 
@@ -29,32 +34,34 @@
         self.limit = limit
         self.open = 0
 
-    async def acquire(self, timeout_s, *, fresh_s=0.0):
-        """Returns a connection that carries no request.
+    async def acquire(self, timeout_s, *, min_idle_left_s=0.0):
+        """Returns an idle or a new connection.
 
         Args:
-            timeout_s: Longest wait for one.
-            fresh_s: Seconds of idleness that must be left to it.
+            timeout_s: Maximum wait, including that for a release.
+            min_idle_left_s: Minimum seconds before the idle timeout of a
+                reused connection.
 
         Raises:
-            NotConnected: If there is none in time.
+            PoolBusy: If none was released in time.
+            NotConnected: If a new one could not be established.
         """
         deadline = self._loop.time() + timeout_s
         while True:
-            conn = self._reuse(fresh_s)
+            conn = self._pop_idle(min_idle_left_s)
             if conn is not None:
                 return conn
             if self.open < self.limit:
                 return await self._connect(deadline - self._loop.time())
-            await self._free(deadline)
+            await self._wait_for_release(deadline)
 
-    def _reuse(self, fresh_s):
+    def _pop_idle(self, min_idle_left_s):
         now = self._loop.time()
         while self._idle:
             conn = self._idle.pop()
-            if conn.usable and conn.idle_until - fresh_s > now:
+            if conn.usable and conn.idle_until - min_idle_left_s > now:
                 return conn
-            self._drop(conn)
+            self._close(conn)
         return None
 
     async def _connect(self, left_s):
@@ -68,69 +75,69 @@
                 )
             return conn
         except (OSError, ValueError) as exc:
-            self._closed_one()
+            self._free_slot()
             raise NotConnected(
                 f'no connection to "{self._address}": {exc or "timeout"}'
             ) from exc
         except BaseException:
-            self._closed_one()
+            self._free_slot()
             raise
 
-    async def _free(self, deadline):
+    async def _wait_for_release(self, deadline):
         left_s = deadline - self._loop.time()
         if left_s <= 0:
             raise PoolBusy(f'all connections to "{self._address}" work')
-        fut = self._loop.create_future()
-        self._waiters.append(fut)
+        waiter = self._loop.create_future()
+        self._waiters.append(waiter)
         try:
             async with asyncio.timeout(left_s):
-                await fut
+                await waiter
         except TimeoutError as exc:
             raise PoolBusy(
                 f'all connections to "{self._address}" work'
             ) from exc
 
     def release(self, conn):
-        """Takes back a connection after its exchange."""
+        """Returns a connection to the pool after a complete response."""
         if conn.finish() and self.open <= self.limit:
             self._idle.append(conn)
-            self._wake_one()
+            self._wake_waiter()
         else:
-            self._drop(conn)
+            self._close(conn)
 
     def release_unused(self, conn):
-        """Takes back a connection that was not used."""
+        """Returns a connection to the pool on which nothing was sent."""
         self._idle.append(conn)
-        self._wake_one()
+        self._wake_waiter()
 
     def discard(self, conn):
-        """Closes a connection in the middle of its exchange."""
-        self._drop(conn)
+        """Closes a connection whose response is incomplete."""
+        self._close(conn)
 
-    def _drop(self, conn):
+    def _close(self, conn):
         conn.abort()
-        self._closed_one()
+        self._free_slot()
 
-    def _closed_one(self):
+    def _free_slot(self):
         self.open -= 1
-        self._wake_one()
+        self._wake_waiter()
 
-    def _wake_one(self):
+    def _wake_waiter(self):
         while self._waiters:
-            fut = self._waiters.popleft()
-            if not fut.done():
-                fut.set_result(None)
+            waiter = self._waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
     def sweep(self):
-        """Closes connections that were idle for too long."""
+        """Closes connections that failed or reached their idle timeout."""
         now = self._loop.time()
         keep = collections.deque()
         for conn in self._idle:
             if conn.usable and conn.idle_until > now:
                 keep.append(conn)
             else:
-                self._drop(conn)
+                self._close(conn)
         self._idle = keep
 
     @property
@@ -141,4 +148,4 @@
     def close(self):
         """Closes idle connections."""
         while self._idle:
-            self._drop(self._idle.pop())
+            self._close(self._idle.pop())
--- a/dandelionwinch/gateway/_exchange.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -7,9 +7,9 @@
 import contextlib
 
 from dandelionwinch import attempts
-from dandelionwinch.gateway import _conversation
-from dandelionwinch.gateway import _inquiry
+from dandelionwinch.gateway import _messages
 from dandelionwinch.gateway import _pool
+from dandelionwinch.gateway import _upstream_exchange
 from dandelionwinch import routes
 
 LEAST_LEFT_S = 0.02
@@ -105,20 +105,20 @@
         try:
             while await self._try_once():
                 pass
-        except _conversation.AttemptFailed as exc:
+        except _upstream_exchange.AttemptFailed as exc:
             self._finish(str(exc))
 
     async def _try_once(self):
         """Makes one attempt; returns whether another one follows."""
         if self._left_s() < LEAST_LEFT_S:
-            raise _conversation.NoFurtherAttempt(
+            raise _upstream_exchange.NoFurtherAttempt(
                 attempts.AttemptOutcome.NOT_SENT, 'no time is left'
             )
         try:
             await self._attempt_once()
-        except _conversation.NoFurtherAttempt:
+        except _upstream_exchange.NoFurtherAttempt:
             raise
-        except _conversation.AttemptFailed as exc:
+        except _upstream_exchange.AttemptFailed as exc:
             self._fates.append(exc.fate)
             self._relayed = exc.relayed or self._relayed
             self._log_attempt(exc)
@@ -156,7 +156,7 @@
         """Gives the final answer after the last failed attempt."""
         if self._streaming:
             self.outcome = 'cut'
-            self._caller.cut()
+            self._caller.abort()
             self._gateway.closed(self, 0, reason)
             return
         relayed = self._relayed
@@ -192,7 +192,7 @@
         excess_s = self._fleet.typical.excess_s(self._service, taken_s)
         belief.succeeded(excess_s, now)
         if again:
-            raise _conversation.AttemptFailed(
+            raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.FAILED,
                 f'status {answer.head.status}',
                 relayed=answer,
@@ -201,7 +201,7 @@
         self._gateway.closed(self, answer.head.status, '')
 
     def _nowhere(self):
-        return _conversation.NoFurtherAttempt(
+        return _upstream_exchange.NoFurtherAttempt(
             self._fates[-1]
             if self._fates
             else attempts.AttemptOutcome.NOT_SENT,
@@ -229,7 +229,7 @@
         self.upstream_id = belief.entry.id
         try:
             conn = await pool.acquire(
-                min(TAKE_TIMEOUT_S, self._left_s()), fresh_s=fresh_s
+                min(TAKE_TIMEOUT_S, self._left_s()), min_idle_left_s=fresh_s
             )
         except _pool.PoolBusy as exc:
             raise self._not_sent(belief, str(exc)) from exc
@@ -247,7 +247,7 @@
 
     def _not_sent(self, belief, reason):
         self._full.add(belief.entry.id)
-        return _conversation.AttemptFailed(
+        return _upstream_exchange.AttemptFailed(
             attempts.AttemptOutcome.NOT_SENT, reason
         )
 
@@ -259,7 +259,7 @@
         pool, conn = await self._take(belief, fresh_s)
         if self._attempt and not self._gateway.spend_retry(self._service):
             pool.release_unused(conn)
-            raise _conversation.NoFurtherAttempt(
+            raise _upstream_exchange.NoFurtherAttempt(
                 self._fates[-1], 'the retry budget is spent', self._relayed
             )
         self._attempt += 1
@@ -267,7 +267,7 @@
         return pool, conn
 
     def _sending(self, belief, **more):
-        return _inquiry.AttemptParams(
+        return _messages.AttemptParams(
             belief.entry.id,
             self._left_s(),
             last_event_id=self._last_event,
@@ -279,7 +279,7 @@
         """Lends a connection for one attempt; a whole answer keeps it."""
         belief.active += 1
         try:
-            yield _conversation.Conversation(
+            yield _upstream_exchange.Conversation(
                 self._loop,
                 conn,
                 self._gateway.dialect,
--- a/dandelionwinch/gateway/_server.py
+++ b/dandelionwinch/gateway/_server.py
@@ -1,4 +1,4 @@
-"""Connections of callers: requests in, whole answers out, in order."""
+"""HTTP/1.1 server for callers; responses in the order of requests."""
 
 import asyncio
 import collections
@@ -7,41 +7,46 @@
 
 from dandelionwinch.gateway import _codec
 
-MAX_PIPELINED = 8
-SWEEP_S = 0.5
+MAX_PIPELINED_REQUESTS = 8
+SWEEP_INTERVAL_S = 0.5
 BODY_TIMEOUT_S = 20.0
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 
 
 @attrs.define
-class Incoming:
-    """A request as it comes in."""
+class IncomingRequest:
+    """A caller's request.
+
+    Attributes:
+        received_at: Loop time at which its first bytes arrived.
+    """
 
     head: _codec.Head
     body: bytearray
-    at: float
+    received_at: float
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller; serves its requests one by one.
+    """Connection of a caller; serves its requests one after the other.
 
-    The handler is a coroutine function called with the request and this
-    connection. It is cancelled when the caller leaves.
+    The server's handler is a coroutine function that is called with an
+    IncomingRequest and this connection. It is cancelled when the caller
+    disconnects.
     """
 
     __slots__ = (
-        '_began_at',
+        '_close_after_response',
         '_closing',
-        '_closing_after',
-        '_current',
-        '_drained',
         '_idle_since',
+        '_incoming',
         '_parser',
         '_paused',
         '_queue',
+        '_request_started_at',
         '_server',
         '_task',
         '_transport',
+        '_write_resumed',
     )
 
     def __init__(self, server):
@@ -50,31 +55,31 @@
         limit = server.limits.max_header_bytes
         self._parser = _codec.RequestParser(self, limit)
         self._queue = collections.deque()
-        self._current = None
+        self._incoming = None
         self._task = None
         self._closing = False
-        self._closing_after = False
+        self._close_after_response = False
         self._paused = False
-        self._drained = None
-        self._began_at = None
+        self._write_resumed = None
+        self._request_started_at = None
         self._idle_since = server.loop.time()
 
     def connection_made(self, transport):
-        """Joins the server's connections."""
+        """Registers the connection with the server."""
         self._transport = transport
         self._server.connections.add(self)
 
     def connection_lost(self, exc):
-        """Cancels the work of a caller who has left."""
+        """Cancels the handler."""
         self._server.connections.discard(self)
-        self._leave()
+        self._cancel()
 
     def eof_received(self):
-        """A caller who closes its side has left."""
-        self._leave()
+        """Cancels the handler; a half-closed connection is not served."""
+        self._cancel()
         return False
 
-    def _leave(self):
+    def _cancel(self):
         self._closing = True
         self._queue.clear()
         if self._task is not None:
@@ -82,18 +87,18 @@
         self.resume_writing()
 
     def data_received(self, data):
-        """Parses bytes of requests."""
+        """Parses received bytes."""
         if self._closing:
             return
-        if self._began_at is None:
-            self._began_at = self._server.loop.time()
+        if self._request_started_at is None:
+            self._request_started_at = self._server.loop.time()
         try:
             self._parser.feed(data)
         except _codec.BadMessage as exc:
-            self._refuse(exc.status, exc.message)
+            self._reject(exc.status, exc.message)
 
     def on_head(self, head):
-        """Checks the head of a request."""
+        """Checks the head of a request; sends 100 Continue if expected."""
         limits = self._server.limits
         self._parser.max_head_bytes = limits.max_header_bytes
         length = head.header('content-length')
@@ -103,35 +108,35 @@
             )
         if sum(1 for name, _value in head.headers if name == 'host') != 1:
             raise _codec.BadMessage('not one header "Host"')
-        at = self._began_at or self._server.loop.time()
-        self._current = Incoming(head, bytearray(), at)
+        at = self._request_started_at or self._server.loop.time()
+        self._incoming = IncomingRequest(head, bytearray(), at)
         if head.header('expect').lower() == '100-continue':
             self._transport.write(_codec.response_head(100, ()))
 
     def on_body(self, data):
         """Collects the body of a request."""
-        self._current.body += data
+        self._incoming.body += data
         limit = self._server.limits.max_body_bytes
-        if len(self._current.body) > limit:
+        if len(self._incoming.body) > limit:
             raise _codec.BodyTooLarge(f'the body is over {limit} bytes')
 
     def on_end(self):
-        """Serves a whole request, or queues it behind the present one."""
-        self._queue.append(self._current)
-        self._current = None
-        self._began_at = None
-        if len(self._queue) > MAX_PIPELINED:
+        """Serves a complete request, or queues it behind the current one."""
+        self._queue.append(self._incoming)
+        self._incoming = None
+        self._request_started_at = None
+        if len(self._queue) > MAX_PIPELINED_REQUESTS:
             raise _codec.BadMessage('too many requests at once')
         if self._task is None:
-            self._next()
+            self._serve_next()
 
-    def _next(self):
+    def _serve_next(self):
         if not self._queue or self._closing:
             self._idle_since = self._server.loop.time()
             return
         incoming = self._queue.popleft()
         if not incoming.head.keep_alive or self._server.draining:
-            self._closing_after = True
+            self._close_after_response = True
         self._task = self._server.loop.create_task(self._serve(incoming))
 
     async def _serve(self, incoming):
@@ -139,70 +144,70 @@
             await self._server.handler(incoming, self)
         finally:
             self._task = None
-            if self._closing_after and not self._queue:
+            if self._close_after_response and not self._queue:
                 self._close()
             else:
-                self._next()
+                self._serve_next()
 
-    def _refuse(self, status, reason):
-        self._server.refused(status, reason)
+    def _reject(self, status, reason):
+        self._server.report_rejection(status, reason)
         self._closing = True
         if self._task is not None:
-            self._closing_after = True
+            self._close_after_response = True
             return
         self.respond(status, (), reason.encode(), close=True)
         self._close()
 
     @property
-    def closing_after(self):
-        """Tells whether the connection ends with the present answer."""
-        return self._closing_after or self._server.draining
+    def closes_after_response(self):
+        """Tells whether the connection closes after this response."""
+        return self._close_after_response or self._server.draining
 
     def respond(self, status, headers, body, *, close=False):
-        """Writes a whole answer."""
+        """Writes a complete response."""
         pairs = list(headers)
         pairs.append(('Content-Length', str(len(body))))
-        if close or self.closing_after:
-            self._closing_after = True
+        if close or self.closes_after_response:
+            self._close_after_response = True
             pairs.append(('Connection', 'close'))
         head = _codec.response_head(status, pairs)
         self._transport.write(head + body)
 
-    def begin_stream(self, status, headers):
-        """Writes the head of a streamed answer."""
+    def start_stream(self, status, headers):
+        """Writes the head of a chunked response."""
         pairs = list(headers)
         pairs.append(('Transfer-Encoding', 'chunked'))
-        if self.closing_after:
-            self._closing_after = True
+        if self.closes_after_response:
+            self._close_after_response = True
             pairs.append(('Connection', 'close'))
         self._transport.write(_codec.response_head(status, pairs))
 
-    async def send(self, data):
-        """Writes a piece of a stream; waits while the caller is slow."""
-        self._transport.write(_codec.chunk(data))
+    async def send_chunk(self, data):
+        """Writes a chunk; waits while the write buffer is full."""
+        self._transport.write(_codec.encode_chunk(data))
         if self._paused:
-            self._drained = self._server.loop.create_future()
-            await self._drained
+            self._write_resumed = self._server.loop.create_future()
+            await self._write_resumed
 
     def end_stream(self):
-        """Writes the end of a stream."""
+        """Writes the end of a chunked response."""
         self._transport.write(_codec.LAST_CHUNK)
 
-    def cut(self):
-        """Ends the connection so that the answer is seen to be cut."""
+    def abort(self):
+        """Aborts the connection, so that the response is seen truncated."""
         self._closing = True
         self._transport.abort()
 
     def pause_writing(self):
-        """The caller reads more slowly than its answer comes."""
+        """Blocks `send_chunk`, as the write buffer is full."""
         self._paused = True
 
     def resume_writing(self):
-        """The caller has read on."""
+        """Unblocks `send_chunk`."""
         self._paused = False
-        drained, self._drained = self._drained, None
-        if drained is not None and not drained.done():
-            drained.set_result(None)
+        waiter, self._write_resumed = self._write_resumed, None
+        if waiter is not None and not waiter.done():
+            waiter.set_result(None)
 
     def _close(self):
         self._closing = True
@@ -210,29 +215,38 @@
             self._transport.close()
 
     def sweep(self, now):
-        """Closes a connection that is idle or slow beyond its limits."""
+        """Closes the connection if it is idle or slow beyond the limits."""
         if self._task is not None:
             return
         limits = self._server.limits
-        if self._began_at is None:
+        if self._request_started_at is None:
             idle_s = now - self._idle_since
             if idle_s > limits.idle_timeout_s or self._server.draining:
                 self._close()
             return
         limit_s = limits.header_timeout_s
-        if self._current is not None:
+        if self._incoming is not None:
             limit_s = BODY_TIMEOUT_S
-        if now - self._began_at > limit_s:
-            self._refuse(408, 'the request took too long to arrive')
+        if now - self._request_started_at > limit_s:
+            self._reject(408, 'the request took too long to arrive')
 
 
 class Server:
-    """Listens at one address and serves its connections."""
+    """Listens on one address and serves its connections.
+
+    Args:
+        loop: The event loop.
+        handler: Coroutine function of an IncomingRequest and its
+            CallerConnection.
+        limits: Limits of requests; may be replaced while it serves.
+        on_rejected: Function of a status and a reason, called for each
+            request that is rejected before it was complete.
+    """
 
     __slots__ = (
         '_listener',
-        '_refusals',
-        '_sweeper',
+        '_on_rejected',
+        '_sweep_timer',
         'connections',
         'draining',
         'handler',
@@ -240,15 +254,15 @@
         'loop',
     )
 
-    def __init__(self, loop, handler, limits, refused=None):
+    def __init__(self, loop, handler, limits, on_rejected=None):
         self.loop = loop
         self.handler = handler
         self.limits = limits
         self.connections = set()
         self.draining = False
-        self._refusals = refused
+        self._on_rejected = on_rejected
         self._listener = None
-        self._sweeper = None
+        self._sweep_timer = None
 
     async def start(self, address):
         """Binds the address, given as IP:PORT."""
@@ -257,7 +271,7 @@
             lambda: CallerConnection(self),
             host,
             int(port),
-            backlog=BACKLOG,
+            backlog=LISTEN_BACKLOG,
             reuse_address=True,
         )
         self._sweep()
@@ -267,26 +281,26 @@
         """Returns the port that is bound."""
         return self._listener.sockets[0].getsockname()[1]
 
-    def refused(self, status, reason):
-        """Notes a request that was refused before it was whole."""
-        if self._refusals is not None:
-            self._refusals(status, reason)
+    def report_rejection(self, status, reason):
+        """Reports a request that was rejected before it was complete."""
+        if self._on_rejected is not None:
+            self._on_rejected(status, reason)
 
     def _sweep(self):
         now = self.loop.time()
         for conn in list(self.connections):
             conn.sweep(now)
-        self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def drain(self):
-        """Ends connections after their present answers."""
+        """Closes idle connections, and the others after their responses."""
         self.draining = True
 
     def close(self):
-        """Stops listening and cuts what is left."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        """Stops listening and aborts all connections."""
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._listener is not None:
             self._listener.close()
         for conn in list(self.connections):
-            conn.cut()
+            conn.abort()
--- a/dandelionwinch/gateway/_conversation.py
+++ b/dandelionwinch/gateway/_upstream_exchange.py
@@ -60,7 +60,7 @@
         """Returns the whole body of the present answer."""
         body = bytearray()
         if self._inquiry.method == 'HEAD':
-            self._conn.spoil()
+            self._conn.forbid_reuse()
             return b''
         while True:
             item = await self.item(patience_s)
@@ -75,7 +75,7 @@
     def send(self, params):
         """Sends the request."""
         req = self._inquiry
-        headers = self._dialect.upstream_headers(req, params)
+        headers = self._dialect.request_headers(req, params)
         data = _codec.request_bytes(req.method, req.target, headers, req.body)
         self._conn.send(data)
 
@@ -97,7 +97,7 @@
                 raise AttemptFailed(
                     attempts.AttemptOutcome.UNKNOWN, 'an answer without an id'
                 )
-            self._conn.spoil()
+            self._conn.forbid_reuse()
 
     async def item(self, timeout_s):
         """Returns the next Head, Data or End.
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_dialect.py
@@ -67,7 +67,7 @@
             _number(head.header(LAST_EVENT_ID)),
         )
 
-    def upstream_headers(self, req, params):
+    def request_headers(self, req, params):
         """Returns the headers of a request to an upstream."""
         pairs = list(req.headers)
         pairs.append((TARGET, params.upstream_id))
@@ -90,7 +90,7 @@
             bool(head.header(SIGNATURE)),
         )
 
-    def parse_kv_handle(self, body):
+    def kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
         try:
             value = json.loads(body)
