--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -1,15 +1,24 @@
-"""Connection pools and beliefs of the upstreams, kept in step."""
+"""The registry of upstreams, and a connection pool for each of them."""
 
 from dandelionwinch.gateway import _pool
 from dandelionwinch import upstreams
 
-CONNECTION_SHARE = 0.8
-DEFAULT_CONNECTIONS = 64
-FORGET_S = 30.0
+# Part of a service's connection limit that all instances use together.
+CONNECTION_LIMIT_RATIO = 0.8
+DEFAULT_MAX_CONNECTIONS = 64
+FORGET_UPSTREAM_AFTER_S = 30.0
 
 
 class Fleet:
-    """The upstreams as one instance uses them."""
+    """The upstreams as one instance uses them.
+
+    Attributes:
+        beliefs: State of each upstream.
+        instance_count: Instances that share the connection limits, in
+            units of this instance's capacity.
+        table: The RouteTable, None before the first one is known.
+        typical: Typical latency of each service.
+    """
 
     __slots__ = (
         '_loop',
@@ -28,30 +37,32 @@
         self.table = None
         self.typical = upstreams.Typical()
 
-    def pool(self, belief):
-        """Returns the connections to one incarnation of an upstream."""
-        entry = belief.entry
+    def pool(self, upstream):
+        """Returns the connection pool of one incarnation of an upstream."""
+        entry = upstream.entry
         key = (entry.id, entry.born, entry.address)
         pool = self._pools.get(key)
-        limit = self._limit(entry.service)
+        limit = self._connection_limit(entry.service)
         if pool is None:
             pool = _pool.Pool(self._loop, entry.address, limit)
             self._pools[key] = pool
         pool.limit = limit
         return pool
 
-    def _limit(self, service):
-        known = self.table.services.get(service) if self.table else None
-        most = known.max_connections if known else DEFAULT_CONNECTIONS
-        return max(2, int(most * CONNECTION_SHARE / self.instance_count))
+    def _connection_limit(self, service_name):
+        service = self.table.services.get(service_name) if self.table else None
+        total = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
+        return max(
+            2, int(total * CONNECTION_LIMIT_RATIO / self.instance_count)
+        )
 
     def sweep(self, now):
-        """Closes idle connections and those to upstreams that are gone."""
-        self.beliefs.forget(now, FORGET_S)
+        """Closes idle connections and those to deregistered upstreams."""
+        self.beliefs.forget(now, FORGET_UPSTREAM_AFTER_S)
         serving = {
-            (b.entry.id, b.entry.born, b.entry.address)
-            for b in self.beliefs
-            if b.gone_at is None
+            (u.entry.id, u.entry.born, u.entry.address)
+            for u in self.beliefs
+            if u.gone_at is None
         }
         for key, pool in list(self._pools.items()):
             pool.sweep()
