--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The data path: callers' requests to upstreams on one event loop."""
+"""Data path: forwards requests of callers to upstreams, on one loop."""
 
 from dandelionwinch.gateway._codec import BadMessage
 from dandelionwinch.gateway._codec import Head
--- a/dandelionwinch/gateway/_call_handler.py
+++ b/dandelionwinch/gateway/_call_handler.py
@@ -1,29 +1,29 @@
-"""A call of a plain service: one upstream, one whole answer."""
+"""Serves calls of plain services, which have one complete response."""
 
 from dandelionwinch import dispatch
 from dandelionwinch.gateway import _request_handler
 
 
-class Call(_request_handler.Exchange):
+class CallHandler(_request_handler.RequestHandler):
     """Serves one call of a plain service."""
 
     __slots__ = ()
 
-    async def _attempt_once(self):
-        """Sends the call to one upstream and hands its answer on."""
+    async def _make_attempt(self):
+        """Sends the call to one upstream and relays its response."""
         now = self._loop.time()
-        belief = dispatch.choose_plain(
+        upstream = dispatch.choose_plain(
             self._fleet.beliefs.serving(self._service),
-            self._tried | self._full,
+            self._tried | self._unavailable,
             self._gateway.distances,
             self._gateway.rng,
             now,
         )
-        if belief is None:
-            raise self._nowhere()
-        params = self._sending(belief)
-        pool, conn = await self._connect(belief)
-        began = self._loop.time()
-        async with self._talk(belief, pool, conn) as talk:
-            answer = await talk.ask(params, self._patience_s())
-        self._accept(belief, answer, began)
+        if upstream is None:
+            raise self._no_upstream()
+        params = self._params(upstream)
+        pool, conn = await self._begin_attempt(upstream)
+        started_at = self._loop.time()
+        async with self._open_exchange(upstream, pool, conn) as exchange:
+            response = await exchange.fetch(params, self._idle_timeout_s())
+        self._accept_response(upstream, response, started_at)
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""Wires routes, beliefs, placement, limits and connections together."""
+"""Connects routing, upstream state, placement and retry budgets."""
 
 import random
 import traceback
@@ -11,15 +11,23 @@
 from dandelionwinch.gateway import _generation_handler
 from dandelionwinch.gateway import _metrics
 
-NO_ROUTES_RETRY_S = 0.5
-SWEEP_S = 1.0
+NO_ROUTES_RETRY_AFTER_S = 0.5
+SWEEP_INTERVAL_S = 1.0
 
 
 class Gateway:
-    """Serves callers' requests from what is believed now."""
+    """Serves callers' requests.
+
+    Attributes:
+        active: Number of requests in progress.
+        budget: The SharedRetryBudget.
+        distances: Round-trip times to data centres.
+        fleet: Upstreams and their connection pools.
+        placer: Chooses the engines of a generation.
+    """
 
     __slots__ = (
-        '_sweeper',
+        '_sweep_timer',
         'active',
         'budget',
         'dialect',
@@ -45,7 +53,7 @@
         self.fleet = _fleet.Fleet(loop)
         self.metrics = _metrics.Metrics()
         self.active = 0
-        self._sweeper = None
+        self._sweep_timer = None
 
     def start(self):
         """Starts the periodic work."""
@@ -53,21 +61,26 @@
 
     def close(self):
         """Stops the periodic work and closes idle connections."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         self.fleet.close()
 
     def _sweep(self):
         self.fleet.sweep(self.loop.time())
-        self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def handle(self, incoming, caller):
-        """Serves one request of a caller's connection."""
+        """Serves one request of a caller.
+
+        Args:
+            incoming: The IncomingRequest.
+            caller: The CallerConnection that receives the response.
+        """
         self.active += 1
         try:
             await self._serve(incoming, caller)
         except errors.DandelionwinchError as exc:
-            self._refuse(caller, incoming, exc.status, exc.message)
+            self._reject(caller, incoming, exc.status, exc.message)
         except Exception:
             self.log.event('gateway.fault', trace=traceback.format_exc())
             caller.abort()
@@ -78,25 +91,25 @@
         head = incoming.head
         table = self.fleet.table
         if table is None:
-            headers = self.dialect.retry_after_headers(NO_ROUTES_RETRY_S)
-            self._refuse(caller, incoming, 503, 'no routes yet', headers)
+            headers = self.dialect.retry_after_headers(NO_ROUTES_RETRY_AFTER_S)
+            self._reject(caller, incoming, 503, 'no routes yet', headers)
             return
         route = table.match(head.header('host'), head.path)
         if route is None:
-            self._refuse(caller, incoming, 404, 'no route matches')
+            self._reject(caller, incoming, 404, 'no route matches')
             return
         req = self.dialect.parse_request(head, bytes(incoming.body))
-        kind = _call_handler.Call
+        handler_class = _call_handler.CallHandler
         if route.streaming and req.prompt is not None:
-            kind = _generation_handler.Generation
-        exchange = kind(self, req, route, caller, incoming.received_at)
+            handler_class = _generation_handler.GenerationHandler
+        handler = handler_class(self, req, route, caller, incoming.received_at)
         try:
-            await exchange.run()
+            await handler.run()
         except BaseException as exc:
             self.log.event('request.left', request=req.id, reason=repr(exc))
             raise
 
-    def _refuse(self, caller, incoming, status, reason, headers=()):
+    def _reject(self, caller, incoming, status, reason, headers=()):
         self.log.event(
             'request.refused',
             host=incoming.head.header('host'),
@@ -107,34 +120,45 @@
         caller.respond(status, headers, reason.encode())
 
     def log_early_refusal(self, status, reason):
-        """Notes a request that was refused before it was whole."""
+        """Logs a request that was rejected before it was complete."""
         self.log.event('request.refused', status=status, reason=reason)
 
-    def set_instance_count(self, parts):
-        """Takes the number of parts like its own that limits are cut in."""
-        self.fleet.instance_count = parts
-        self.placer.parts = parts
+    def set_instance_count(self, instance_count):
+        """Sets the number of instances that share limits.
+
+        Args:
+            instance_count: Capacity of all instances in units of this
+                instance's capacity.
+        """
+        self.fleet.instance_count = instance_count
+        self.placer.parts = instance_count
 
     def begin_role_change(self, upstream_id, span_s):
-        """Keeps requests away from an engine that changes its role."""
-        belief = self.fleet.beliefs.get(upstream_id)
-        if belief is not None:
-            belief.changing_until = self.loop.time() + span_s
+        """Excludes an engine from placement while its role changes.
+
+        Args:
+            upstream_id: Id of the engine.
+            span_s: Longest time to exclude it, unless
+                `end_role_change` is called before.
+        """
+        upstream = self.fleet.beliefs.get(upstream_id)
+        if upstream is not None:
+            upstream.changing_until = self.loop.time() + span_s
 
     def end_role_change(self, upstream_id):
-        """Lets an engine that has its new role take requests."""
-        belief = self.fleet.beliefs.get(upstream_id)
-        if belief is not None:
-            belief.changing_until = 0.0
+        """Includes an engine in placement again."""
+        upstream = self.fleet.beliefs.get(upstream_id)
+        if upstream is not None:
+            upstream.changing_until = 0.0
 
     def spend_retry(self, service):
-        """Takes a retry out of the shared budget."""
+        """Spends a retry of the shared budget; tells whether there was one."""
         return self.budget.spend(
             service, self.fleet.instance_count, self.loop.time()
         )
 
     def log_placement(self, request_id, placement):
-        """Logs where a generation goes, and why."""
+        """Logs the engines of a generation and the terms of the choice."""
         prefill = placement.prefill
         self.log.event(
             'request.placed',
@@ -145,27 +169,33 @@
             terms=placement.terms,
         )
 
-    def closed(self, exchange, status, reason):
-        """Notes the final answer of a request."""
-        taken_s = exchange.taken_s()
-        name = exchange.route.name
+    def record_response(self, handler, status, reason):
+        """Records the final response to a request in metrics and log.
+
+        Args:
+            handler: The RequestHandler.
+            status: Status of the response, 0 if it was aborted.
+            reason: Why the last attempt failed, '' if it succeeded.
+        """
+        elapsed_s = handler.elapsed_s()
+        name = handler.route.name
         stages = {
-            'prefill': exchange.prefill_s,
-            'first_event': exchange.first_event_s,
-            'end': taken_s,
+            'prefill': handler.prefill_s,
+            'first_event': handler.first_event_s,
+            'end': elapsed_s,
         }
-        self.metrics.record_response(name, status, exchange.outcome, stages)
+        self.metrics.record_response(name, status, handler.outcome, stages)
         self.log.event(
             'request.answered',
-            request=exchange.request_id,
+            request=handler.request_id,
             route=name,
-            upstream=exchange.upstream_id,
+            upstream=handler.upstream_id,
             status=status,
-            outcome=exchange.outcome,
+            outcome=handler.outcome,
             reason=reason,
-            attempts=exchange.attempts,
-            prefill_ms=round(exchange.prefill_s * 1e3, 1),
-            first_ms=round(exchange.first_event_s * 1e3, 1),
-            gap_ms=round(exchange.longest_gap_s * 1e3, 1),
-            taken_ms=round(taken_s * 1e3, 1),
+            attempts=handler.attempts,
+            prefill_ms=round(handler.prefill_s * 1e3, 1),
+            first_ms=round(handler.first_event_s * 1e3, 1),
+            gap_ms=round(handler.longest_gap_s * 1e3, 1),
+            taken_ms=round(elapsed_s * 1e3, 1),
         )
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -1,7 +1,7 @@
-"""A generation: its prompt is read, and its answer streamed.
+"""Serves generations: prefill, decode and streaming of the events.
 
-The prompt may be read at one engine and answered at another. An answer
-that breaks off goes on elsewhere where its route allows that.
+Prefill and decode may run at different engines. A stream that breaks
+off is resumed at another engine where its route allows that.
 """
 
 import attrs
@@ -13,94 +13,105 @@
 from dandelionwinch.gateway import _sse
 from dandelionwinch.gateway import _upstream_exchange
 
-PREFILL_SILENCE_FACTOR = 3.0
-RETURNED_SHARE = 0.85
+# Multiple of the route's latency objective.
+PREFILL_TIMEOUT_FACTOR = 3.0
+RETRIED_TIMEOUT_RATIO = 0.85
 
 
-class Generation(_request_handler.Exchange):
+class GenerationHandler(_request_handler.RequestHandler):
     """Serves one generation on model engines."""
 
     __slots__ = ()
 
-    async def _attempt_once(self):
-        """Places the prompt, reads it, and hands the answer on."""
+    async def _make_attempt(self):
+        """Places the request, prefills its prompt and relays the stream."""
         now = self._loop.time()
-        prompt = self._inquiry.prompt
+        prompt = self._req.prompt
         placement = self._gateway.placer.place(
             prompt,
             self._fleet.beliefs.serving(self._service),
-            self._tried | self._full,
+            self._tried | self._unavailable,
             now,
-            direct=bool(self._attempt),
-            late=self._is_late(),
+            direct=bool(self._attempt_count),
+            late=self._missed_objective(),
             objective_s=self._route.objective_s,
         )
         if placement is None:
-            raise self._nowhere()
-        self._gateway.log_placement(self._inquiry.id, placement)
+            raise self._no_upstream()
+        self._gateway.log_placement(self._req.id, placement)
         self._gateway.placer.sent(prompt, placement, now)
         try:
-            source = ''
+            kv_source = ''
             if placement.prefill is not None:
-                source = await self._prefill(placement)
-                began, now = now, self._loop.time()
-                self.prefill_s = now - began
-                self._gateway.placer.prefilled(placement, now - began, now)
-                placement = self._settled(placement)
-            await self._decode(placement, source, now)
+                kv_source = await self._prefill(placement)
+                started_at, now = now, self._loop.time()
+                self.prefill_s = now - started_at
+                self._gateway.placer.prefilled(
+                    placement, now - started_at, now
+                )
+                placement = self._with_serving_decoder(placement)
+            await self._decode(placement, kv_source, now)
         finally:
             self._gateway.placer.ended(placement)
 
-    def _is_late(self):
-        """Tells whether the latency objective is out of reach.
+    def _missed_objective(self):
+        """Tells whether the latency objective can no longer be met.
 
-        A caller that comes back waits for less than its whole timeout.
+        A caller's timeout well below that of the route shows that the
+        caller retries and has spent part of its time already.
         """
         route = self._route
-        if self._loop.time() - self._began > route.objective_s:
+        if self._loop.time() - self._started_at > route.objective_s:
             return True
-        timeout_s = self._inquiry.timeout_s
+        timeout_s = self._req.timeout_s
         return (
             timeout_s is not None
-            and timeout_s < RETURNED_SHARE * route.timeout_s
+            and timeout_s < RETRIED_TIMEOUT_RATIO * route.timeout_s
         )
 
     async def _prefill(self, placement):
-        belief = placement.prefill
-        params = self._sending(
-            belief, prefill_only=True, urgency=placement.urgency
+        """Prefills the prompt; returns address and handle of its KV cache.
+
+        Raises:
+            AttemptFailed: If it failed; the request was not executed.
+        """
+        upstream = placement.prefill
+        params = self._params(
+            upstream, prefill_only=True, urgency=placement.urgency
         )
-        pool, conn = await self._take(belief)
+        pool, conn = await self._acquire(upstream)
         try:
-            async with self._talk(belief, pool, conn) as talk:
-                handle = await self._ask_prefill(talk, params, placement.lane)
+            async with self._open_exchange(upstream, pool, conn) as exchange:
+                handle = await self._request_prefill(
+                    exchange, params, placement.lane
+                )
         except _upstream_exchange.AttemptFailed as exc:
-            self._attempt += 1
+            self._attempt_count += 1
             raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.NOT_EXECUTED, f'prefill: {exc}'
             ) from exc
-        return f'{belief.entry.address}/{handle}'
+        return f'{upstream.entry.address}/{handle}'
 
-    async def _ask_prefill(self, talk, params, lane):
-        talk.send(params)
-        patience_s = self._left_s()
+    async def _request_prefill(self, exchange, params, lane):
+        exchange.send(params)
+        idle_timeout_s = self._left_s()
         if lane is not dispatch.Lane.BACKGROUND:
-            patience_s = PREFILL_SILENCE_FACTOR * self._route.objective_s
-        head = await talk.head(patience_s)
-        body = await talk.body(patience_s)
+            idle_timeout_s = PREFILL_TIMEOUT_FACTOR * self._route.objective_s
+        head = await exchange.read_head(idle_timeout_s)
+        body = await exchange.read_body(idle_timeout_s)
         reply = self._gateway.dialect.parse_reply(head)
         handle = self._gateway.dialect.kv_handle(body)
         if head.status != 200 or not handle:
-            fate = attempts.AttemptOutcome.UNKNOWN
+            outcome = attempts.AttemptOutcome.UNKNOWN
             if reply.not_executed:
-                fate = attempts.AttemptOutcome.NOT_EXECUTED
+                outcome = attempts.AttemptOutcome.NOT_EXECUTED
             raise _upstream_exchange.AttemptFailed(
-                fate, f'status {head.status}, no handle'
+                outcome, f'status {head.status}, no handle'
             )
         return handle
 
-    def _settled(self, placement):
-        """Returns the placement with an engine that still takes requests."""
+    def _with_serving_decoder(self, placement):
+        """Replaces a decode engine that stopped serving meanwhile."""
         now = self._loop.time()
         if self._fleet.beliefs.serves(placement.decode):
             return placement
@@ -108,62 +119,73 @@
             placement, self._fleet.beliefs.serving(self._service), now
         )
         if other is None:
-            raise self._nowhere()
+            raise self._no_upstream()
         return attrs.evolve(placement, decode=other)
 
-    async def _decode(self, placement, source, began):
+    async def _decode(self, placement, kv_source, started_at):
         try:
-            await self._answer_at(placement, source, began)
+            await self._decode_at(placement, kv_source, started_at)
         except _upstream_exchange.AttemptFailed as exc:
-            gone = source and exc.fate is attempts.AttemptOutcome.NOT_EXECUTED
-            if not gone or isinstance(
+            refused = (
+                kv_source
+                and exc.outcome is attempts.AttemptOutcome.NOT_EXECUTED
+            )
+            if not refused or isinstance(
                 exc, _upstream_exchange.NoFurtherAttempt
             ):
                 raise
-            # The handle may be gone; the engine can read the prompt itself.
-            self._fates.append(exc.fate)
+            # The KV cache handle may have expired; the decode engine can
+            # prefill the prompt itself.
+            self._attempt_outcomes.append(exc.outcome)
             self._log_attempt(exc)
             now = self._loop.time()
             self._gateway.placer.handle_refused(placement, now)
             direct = attrs.evolve(placement, prefill=None)
-            await self._answer_at(direct, '', now)
+            await self._decode_at(direct, '', now)
 
-    async def _answer_at(self, placement, source, began):
-        belief = placement.decode
-        pool, conn = await self._connect(belief)
+    async def _decode_at(self, placement, kv_source, started_at):
+        upstream = placement.decode
+        pool, conn = await self._begin_attempt(upstream)
         urgency = placement.urgency
-        if source:
+        if kv_source:
             urgency = dispatch.HANDED_OVER_URGENCY
             self._gateway.placer.handed_over(placement, self._loop.time())
-        params = self._sending(belief, kv_source=source, urgency=urgency)
-        async with self._talk(belief, pool, conn) as talk:
-            await self._stream(talk, params, placement, began)
-
-    async def _stream(self, talk, params, placement, began):
-        talk.send(params)
-        patience_s = self._patience_s()
-        head = await talk.head(patience_s)
+        params = self._params(upstream, kv_source=kv_source, urgency=urgency)
+        async with self._open_exchange(upstream, pool, conn) as exchange:
+            await self._relay_stream(exchange, params, placement, started_at)
+
+    async def _relay_stream(self, exchange, params, placement, started_at):
+        """Sends the request and relays the events of its response.
+
+        Only complete events are relayed, as a resumed stream continues
+        after the last of them.
+        """
+        exchange.send(params)
+        idle_timeout_s = self._idle_timeout_s()
+        head = await exchange.read_head(idle_timeout_s)
         reply = self._gateway.dialect.parse_reply(head)
         if head.status != 200 or not reply.signed or reply.not_executed:
-            await self._whole_failure(talk, head, placement.decode, patience_s)
+            await self._handle_error(
+                exchange, head, placement.decode, idle_timeout_s
+            )
             return
         splitter = _sse.EventSplitter()
         last_at = None
         while True:
-            item = await talk.item(patience_s)
+            item = await exchange.read_item(idle_timeout_s)
             if isinstance(item, _connection.End):
                 break
             for event in self._split(splitter, item.data):
                 now = self._loop.time()
                 if last_at is None:
-                    self._started(placement, began)
+                    self._record_first_event(placement, started_at)
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
                     self._gateway.placer.paused(
                         placement, now - last_at, self._route.event_gap_s, now
                     )
                 last_at = now
-                await self._deliver(head, event)
+                await self._relay_event(head, event)
         if splitter.incomplete:
             raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.UNKNOWN, 'a torn event'
@@ -178,7 +200,7 @@
             placement.decode.excess_s, self._loop.time()
         )
         self.outcome = 'whole'
-        self._gateway.closed(self, 200, '')
+        self._gateway.record_response(self, 200, '')
 
     @staticmethod
     def _split(splitter, data):
@@ -189,29 +211,32 @@
                 attempts.AttemptOutcome.UNKNOWN, str(exc)
             ) from exc
 
-    async def _deliver(self, head, event):
+    async def _relay_event(self, head, event):
+        """Sends an event to the caller unless it was sent already."""
         if event.event_id is not None:
-            last = self._last_event
+            last = self._last_event_id
             if last is not None and event.event_id <= last:
                 return
-            self._last_event = event.event_id
+            self._last_event_id = event.event_id
         if not self._streaming:
             self._streaming = True
             self._caller.start_stream(200, head.end_to_end())
         await self._caller.send_chunk(event.data)
 
-    def _started(self, placement, began):
+    def _record_first_event(self, placement, started_at):
         now = self._loop.time()
-        self.first_event_s = self.first_event_s or now - self._began
-        self._gateway.placer.started(placement, now - began, now)
+        self.first_event_s = self.first_event_s or now - self._started_at
+        self._gateway.placer.started(placement, now - started_at, now)
 
-    async def _whole_failure(self, talk, head, belief, patience_s):
-        """Reads an answer that is not a stream of events."""
-        answer = _upstream_exchange.Answer(head, await talk.body(patience_s))
-        talk.check_executed(answer)
+    async def _handle_error(self, exchange, head, upstream, idle_timeout_s):
+        """Relays an error response, unless a stream has begun already."""
+        response = _upstream_exchange.UpstreamResponse(
+            head, await exchange.read_body(idle_timeout_s)
+        )
+        exchange.check_executed(response)
         if self._streaming:
             raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.FAILED,
                 f'status {head.status} on resumption',
             )
-        self._accept(belief, answer, self._loop.time())
+        self._accept_response(upstream, response, self._loop.time())
--- a/dandelionwinch/gateway/_upstream_exchange.py
+++ b/dandelionwinch/gateway/_upstream_exchange.py
@@ -1,4 +1,4 @@
-"""One request on one connection: what is sent, and what comes back."""
+"""One request to an upstream and its response, on one connection."""
 
 import attrs
 
@@ -6,92 +6,101 @@
 from dandelionwinch.gateway import _codec
 from dandelionwinch.gateway import _connection
 
-MAX_BUFFERED_BYTES = 1 << 20
-MISDIRECTED = 421
+MAX_RESPONSE_BODY_BYTES = 1 << 20
+MISDIRECTED_STATUS = 421
 
 
 class AttemptFailed(Exception):
-    """An attempt brought no whole answer.
+    """An attempt brought no response that may be relayed as a success.
 
     Attributes:
-        fate: Fate of the request at the upstream.
-        relayed: A whole failure answer of the upstream, or None.
+        outcome: AttemptOutcome.
+        error_response: A complete error response of the upstream, or None.
     """
 
-    def __init__(self, fate, reason, relayed=None):
+    def __init__(self, outcome, reason, error_response=None):
         super().__init__(reason)
-        self.fate = fate
-        self.relayed = relayed
+        self.outcome = outcome
+        self.error_response = error_response
 
 
 class NoFurtherAttempt(AttemptFailed):
-    """There is no upstream or no retry left for another attempt."""
+    """No time, upstream or retry is left for another attempt."""
 
 
 @attrs.frozen
-class Answer:
-    """A whole answer of an upstream."""
+class UpstreamResponse:
+    """A complete response of an upstream."""
 
     head: _codec.Head
     body: bytes
 
 
-class Conversation:
-    """Sends a request and reads its answer; other answers are skipped."""
+class UpstreamExchange:
+    """Sends a request and reads its response.
 
-    __slots__ = ('_conn', '_deadline', '_dialect', '_inquiry', '_loop')
+    Responses to other requests are skipped, as an upstream may send one
+    late on a reused connection.
+    """
+
+    __slots__ = ('_conn', '_deadline', '_dialect', '_loop', '_req')
 
     def __init__(self, loop, conn, dialect, req, deadline):
         self._loop = loop
         self._conn = conn
         self._dialect = dialect
-        self._inquiry = req
+        self._req = req
         self._deadline = deadline
 
-    async def ask(self, params, patience_s):
-        """Sends the request and returns the whole Answer."""
+    async def fetch(self, params, idle_timeout_s):
+        """Sends the request and returns its UpstreamResponse.
+
+        Raises:
+            AttemptFailed: If the response is not complete or not signed,
+                or states that the request was not executed.
+        """
         self.send(params)
-        head = await self.head(patience_s)
-        answer = Answer(head, await self.body(patience_s))
-        self.check_executed(answer)
-        return answer
+        head = await self.read_head(idle_timeout_s)
+        response = UpstreamResponse(head, await self.read_body(idle_timeout_s))
+        self.check_executed(response)
+        return response
 
-    async def body(self, patience_s):
-        """Returns the whole body of the present answer."""
+    async def read_body(self, idle_timeout_s):
+        """Returns the complete body of the current response."""
         body = bytearray()
-        if self._inquiry.method == 'HEAD':
+        if self._req.method == 'HEAD':
             self._conn.forbid_reuse()
             return b''
         while True:
-            item = await self.item(patience_s)
+            item = await self.read_item(idle_timeout_s)
             if isinstance(item, _connection.End):
                 return bytes(body)
             body += item.data
-            if len(body) > MAX_BUFFERED_BYTES:
+            if len(body) > MAX_RESPONSE_BODY_BYTES:
                 raise AttemptFailed(
                     attempts.AttemptOutcome.UNKNOWN, 'the answer is too large'
                 )
 
     def send(self, params):
-        """Sends the request."""
-        req = self._inquiry
+        """Sends the request with the AttemptParams."""
+        req = self._req
         headers = self._dialect.request_headers(req, params)
         data = _codec.request_bytes(req.method, req.target, headers, req.body)
         self._conn.send(data)
 
-    async def head(self, patience_s):
-        """Returns the head that answers this request; skips others."""
-        deadline = self._loop.time() + patience_s
+    async def read_head(self, idle_timeout_s):
+        """Returns the head of the response to this request."""
+        deadline = self._loop.time() + idle_timeout_s
         while True:
             left_s = min(deadline - self._loop.time(), self._left_s())
-            head = await self.item(left_s)
+            head = await self.read_item(left_s)
             while not isinstance(head, _codec.Head):
-                head = await self.item(left_s)
+                head = await self.read_item(left_s)
             reply = self._dialect.parse_reply(head)
-            if reply.request_id == self._inquiry.id:
+            if reply.request_id == self._req.id:
                 return head
             if not reply.request_id:
-                # Refusals need not bear an id; no other answer lacks it.
+                # Only a refusal to execute may lack the request id.
                 if reply.not_executed:
                     return head
                 raise AttemptFailed(
@@ -99,11 +108,12 @@
                 )
             self._conn.forbid_reuse()
 
-    async def item(self, timeout_s):
+    async def read_item(self, timeout_s):
         """Returns the next Head, Data or End.
 
         Raises:
-            AttemptFailed: If the answer broke off or time is over.
+            AttemptFailed: If the connection failed, or no item arrived
+                within `timeout_s` or the deadline.
         """
         try:
             return await self._conn.next_item(min(timeout_s, self._left_s()))
@@ -112,11 +122,15 @@
                 attempts.AttemptOutcome.UNKNOWN, str(exc)
             ) from exc
 
-    def check_executed(self, answer):
-        """Raises AttemptFailed unless the upstream vouches for an answer."""
-        reply = self._dialect.parse_reply(answer.head)
-        status = answer.head.status
-        if reply.not_executed or status == MISDIRECTED:
+    def check_executed(self, response):
+        """Checks that the upstream signed a response and executed it.
+
+        Raises:
+            AttemptFailed: If it did not.
+        """
+        reply = self._dialect.parse_reply(response.head)
+        status = response.head.status
+        if reply.not_executed or status == MISDIRECTED_STATUS:
             raise AttemptFailed(
                 attempts.AttemptOutcome.NOT_EXECUTED,
                 f'status {status}, not executed',
