--- a/dandelionwinch/routes/__init__.py
+++ b/dandelionwinch/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes of callers' requests to services, by revision of a configuration."""
+"""Routing of callers' requests to services."""
 
 from dandelionwinch.routes._table import EngineSpec
 from dandelionwinch.routes._table import Limits
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -1,4 +1,4 @@
-"""The route table: what one accepted configuration says."""
+"""The route table of one version of the configuration."""
 
 import enum
 
@@ -8,7 +8,13 @@
 
 
 class RetryPolicy(enum.Enum):
-    """How often one request of a route may be run."""
+    """Whether a request that may have been executed is sent again.
+
+    Attributes:
+        IDEMPOTENT: It is, as executing it twice is harmless.
+        ONCE: It is not.
+        RESUMABLE: It is, to resume a stream after its last event.
+    """
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -17,7 +23,7 @@
 
 @attrs.frozen
 class TrafficShare:
-    """A service and its relative share of a route's requests."""
+    """A service and the weight of its share of a route's requests."""
 
     service: str
     weight: float
@@ -25,16 +31,21 @@
 
 @attrs.frozen
 class Route:
-    """One route.
+    """A route from a host and a path prefix to services.
 
     Attributes:
-        prefix: Beginning of the paths, with a slash at both ends.
-        timeout_s: Longest time that a caller is kept waiting.
-        objective_s: Latency objective of an answer or its first event.
+        prefix: Prefix of the paths, with a slash at both ends.
+        retry_policy: RetryPolicy of its requests.
+        streaming: Whether responses are streams of server-sent events.
+        timeout_s: Maximum time from the request to the final response.
+        objective_s: Latency objective of the response, or of the first
+            event of a stream.
         priority: Priority of the route, 0 is the highest.
-        max_attempts: Upstreams that one request may be sent to.
+        max_attempts: Maximum number of upstreams for one request.
+        shares: The services and their weights.
         sticky: Whether requests carry a prompt that upstreams cache.
-        gap_s: Longest pause between events, 0 if none is stated.
+        event_gap_s: Objective for the time between two events of a
+            stream, 0 if there is none.
     """
 
     name: str
@@ -51,7 +62,11 @@
     event_gap_s: float = 0.0
 
     def service_for(self, request_id):
-        """Returns the service of a request, by weight and id."""
+        """Returns the service of a request.
+
+        It is chosen by weight and by a hash of the id, so that a request
+        and its retries go to one service.
+        """
         if len(self.shares) == 1:
             return self.shares[0].service
         total = sum(share.weight for share in self.shares)
@@ -65,14 +80,15 @@
 
 @attrs.frozen
 class EngineSpec:
-    """What a service of model engines says of each of its upstreams.
+    """Properties of each model engine of a service.
 
     Attributes:
-        slots: Requests that one engine runs at once.
-        kv_tokens: Tokens that its KV cache holds.
-        kv_token_bytes: Bytes of one token in the KV cache.
-        handle_ttl_s: Seconds that a prefilled prompt is kept.
-        role_switch_s: Seconds that a change of role takes.
+        slots: Maximum number of concurrent requests.
+        kv_tokens: Capacity of the KV cache in tokens.
+        kv_token_bytes: Size of one token in the KV cache.
+        handle_ttl_s: Time for which the KV cache of a prefilled prompt
+            is held.
+        role_switch_s: Duration of a change of role.
     """
 
     slots: int
@@ -84,7 +100,14 @@
 
 @attrs.frozen
 class Service:
-    """One service; `engine` is None for plain services."""
+    """A service.
+
+    Attributes:
+        max_connections: Maximum number of connections to one upstream,
+            from all instances together.
+        health_path: Path of the health check.
+        engine: Properties of its engines, None for a plain service.
+    """
 
     name: str
     max_connections: int
@@ -94,7 +117,7 @@
 
 @attrs.frozen
 class Limits:
-    """What callers may send, and how long they may take for it."""
+    """Limits on the size and the arrival time of callers' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -103,7 +126,11 @@
 
 
 class RouteTable:
-    """Routes, services and limits of one version."""
+    """Routes, services and limits of one version.
+
+    Attributes:
+        services: Mapping of name to Service.
+    """
 
     __slots__ = ('_by_host', 'limits', 'services', 'version')
 
@@ -116,11 +143,11 @@
             self._by_host.setdefault(route.host.lower(), []).append(route)
 
     def match(self, host, path):
-        """Finds the route with the longest prefix of a path.
+        """Returns the route with the longest matching prefix.
 
         Args:
-            host: Value of the request's Host header.
-            path: Path without its query.
+            host: Value of the request's Host header, with or without port.
+            path: Path without the query.
 
         Returns:
             A Route, or None.
