--- a/dandelionwinch/addresses/__init__.py
+++ b/dandelionwinch/addresses/__init__.py
@@ -1,7 +1,7 @@
-"""Which instance a client should use."""
+"""Chooses the instances that clients and callers connect to."""
 
-from dandelionwinch.addresses._answers import assign
-from dandelionwinch.addresses._answers import Assignment
+from dandelionwinch.addresses._assignment import assign
+from dandelionwinch.addresses._assignment import Assignment
 from dandelionwinch.addresses._nearest import InstanceEntry
 from dandelionwinch.addresses._nearest import nearest
 
--- a/dandelionwinch/addresses/_nearest.py
+++ b/dandelionwinch/addresses/_nearest.py
@@ -1,22 +1,22 @@
 """Lists the instances that a caller should connect to.
 
-Answers a fleet of unlike machines: a caller picks one of the addresses
-that it is given at random, so an instance stands in as many answers as
-its capacity is of the largest one's.
+A caller picks one of the returned addresses at random. So that unequal
+instances get callers in proportion to their capacity, an instance is
+listed with a probability of its capacity over that of the largest one.
 """
 
 import attrs
 
 MAX_ADDRESSES = 64
-ENOUGH = 2
+MIN_ADDRESSES = 2
 
 
 @attrs.frozen
 class InstanceEntry:
-    """An instance that takes callers' requests.
+    """Entry of an instance that accepts callers' requests.
 
     Attributes:
-        capacity: Requests per second that it can carry.
+        capacity: Requests per second that it can serve.
     """
 
     name: str
@@ -26,14 +26,14 @@
     capacity: float = 1.0
 
 
-def nearest(present, data_centre, region, rng):
+def nearest(entries, data_centre, region, rng):
     """Returns addresses for a caller.
 
-    Those of the caller's data centre are enough if there are two of
-    them; farther ones cost bytes and time on each request.
+    Instances of the caller's data centre suffice if there are two of
+    them; farther ones cost traffic and latency on each request.
 
     Args:
-        present: Presence of each instance that is ready.
+        entries: InstanceEntry of each instance that is ready.
         data_centre: The caller's data centre, or ''.
         region: The caller's region, or ''.
         rng: Source of randomness.
@@ -41,23 +41,23 @@
     Returns:
         A list of addresses, in a stable order.
     """
-    present = list(present)
-    same = [p for p in present if p.data_centre == data_centre]
-    near = [p for p in present if p.region == region and p not in same]
-    far = [p for p in present if p not in same and p not in near]
+    entries = list(entries)
+    same = [e for e in entries if e.data_centre == data_centre]
+    near = [e for e in entries if e.region == region and e not in same]
+    far = [e for e in entries if e not in same and e not in near]
     chosen = []
     for group in (same, near, far):
-        if len(chosen) >= ENOUGH:
+        if len(chosen) >= MIN_ADDRESSES:
             break
-        chosen += _drawn(group, rng)
-    ranked = sorted(chosen, key=lambda p: p.name)
-    return [p.address for p in ranked[:MAX_ADDRESSES]]
-
-
-def _drawn(group, rng):
-    """Returns some of a group, each as often as its capacity asks for."""
-    largest = max((p.capacity for p in group), default=0.0)
-    drawn = [p for p in group if rng.random() * largest < p.capacity]
-    ranked = sorted(group, key=lambda p: -p.capacity)
-    missing = [p for p in ranked if p not in drawn]
-    return drawn + missing[: max(0, ENOUGH - len(drawn))]
+        chosen += _sample(group, rng)
+    ranked = sorted(chosen, key=lambda e: e.name)
+    return [e.address for e in ranked[:MAX_ADDRESSES]]
+
+
+def _sample(group, rng):
+    """Samples a group by capacity; returns MIN_ADDRESSES if it has them."""
+    largest = max((e.capacity for e in group), default=0.0)
+    sampled = [e for e in group if rng.random() * largest < e.capacity]
+    ranked = sorted(group, key=lambda e: -e.capacity)
+    missing = [e for e in ranked if e not in sampled]
+    return sampled + missing[: max(0, MIN_ADDRESSES - len(sampled))]
