--- a/dandelionwinch/addresses/_assignment.py
+++ b/dandelionwinch/addresses/_assignment.py
@@ -31,7 +31,8 @@
 
     A team keeps its instance while the membership does not change, so
     that its prompts are placed by the same estimates of cache contents.
-    An instance with more jobs than its load bound is a last resort.
+    Instances of the client's data centre rank first; there and
+    elsewhere, those above the load bound rank behind the others.
 
     Args:
         usable: PeerState of each instance that accepts new work.
--- a/dandelionwinch/limits/__init__.py
+++ b/dandelionwinch/limits/__init__.py
@@ -1,6 +1,6 @@
-"""Fair admission by team, and early refusal by deadline."""
+"""Admission control by team, and retry budgets."""
 
 from dandelionwinch.limits._admission import Admission
-from dandelionwinch.limits._budget import RetryBudget
+from dandelionwinch.limits._retry_budget import RetryBudget
 
 __all__ = ['Admission', 'RetryBudget']
--- a/dandelionwinch/limits/_admission.py
+++ b/dandelionwinch/limits/_admission.py
@@ -1,17 +1,27 @@
-"""Admits jobs by team limits that are split over the instances."""
+"""Admission control by team limits that instances share."""
 
 import attrs
 
 from dandelionwinch import errors
 
 RATE_WINDOW_S = 5.0
-LEAST_SHARE = 0.1
-BUSY_SHARE = 0.75
+# Minimum share of a rate limit, as a multiple of an even share.
+MIN_EVEN_SHARE_RATIO = 0.1
+# Part of an instance's places above which teams get places by weight.
+BUSY_RATIO = 0.75
 
 
 @attrs.define
 class _Bucket:
-    """A token bucket of one team on this instance."""
+    """Token bucket of one team at this instance.
+
+    Attributes:
+        tokens: Jobs that may be admitted at once.
+        filled_at: Time of the last refill.
+        used: Jobs admitted in the rate window, decayed linearly.
+        used_at: Time of the last admission.
+        jobs: Jobs in progress.
+    """
 
     tokens: float
     filled_at: float
@@ -21,13 +31,20 @@
 
 
 class Admission:
-    """Decides whether an instance takes a job of a team.
+    """Admits jobs by the rate limits and the weights of teams.
+
+    A team's rate limit applies to all instances together. Each instance
+    applies a share of it, in proportion to the rates of admitted jobs,
+    its own and those that peers report in heartbeats; no store call is
+    made for a job. While most places of an instance are free, a team may
+    exceed its share of places; above BUSY_RATIO, teams get places by
+    weight.
+
+    Args:
+        max_jobs: Places, the maximum number of concurrent jobs.
 
-    A team's rate holds for all instances together. Each instance takes
-    a share in line with the use that it and its peers have seen, which
-    rides on the heartbeats; no store call is made for a job. While
-    instances are partly idle a team may exceed its share of places;
-    once most places are taken, teams get places by weight.
+    Attributes:
+        jobs: Jobs in progress.
     """
 
     __slots__ = ('_buckets', '_max_jobs', '_peers', 'jobs')
@@ -38,18 +55,18 @@
         self._peers = {}
         self.jobs = 0
 
-    def record_peer_rates(self, peer, uses, now):
-        """Takes in how much of each team's limit a peer used.
+    def record_peer_rates(self, peer, rates, now):
+        """Records the rates of admitted jobs that a peer reports.
 
         Args:
             peer: Name of the peer.
-            uses: Mapping of team to jobs per second.
+            rates: Mapping of team to jobs per second.
             now: Time in seconds.
         """
-        self._peers[peer] = (now, uses)
+        self._peers[peer] = (now, rates)
 
     def rates_by_team(self, now):
-        """Returns this instance's jobs per second by team."""
+        """Returns the admitted jobs per second of this instance by team."""
         rates = {}
         for team, bucket in self._buckets.items():
             rate = self._rate(bucket, now)
@@ -64,18 +81,18 @@
         return bucket.used * kept / RATE_WINDOW_S
 
     def share(self, team, instances, now):
-        """Returns this instance's share of a team's limit."""
-        mine = self._rate(self._bucket(team, now), now)
+        """Returns this instance's share of a team's rate limit."""
+        own = self._rate(self._bucket(team, now), now)
         others = sum(
-            uses.get(team.name, 0.0)
-            for at, uses in self._peers.values()
+            rates.get(team.name, 0.0)
+            for at, rates in self._peers.values()
             if now - at < RATE_WINDOW_S
         )
         even = 1 / max(1, instances)
-        if mine + others <= 0:
+        if own + others <= 0:
             return even
-        wanted = (mine + even) / (mine + others + 1)
-        return max(LEAST_SHARE * even, wanted)
+        wanted = (own + even) / (own + others + 1)
+        return max(MIN_EVEN_SHARE_RATIO * even, wanted)
 
     def _bucket(self, team, now):
         bucket = self._buckets.get(team.name)
@@ -85,11 +102,12 @@
         return bucket
 
     def admit(self, team, teams_weight, instances, now):
-        """Takes a place for a job.
+        """Admits a job or refuses it.
 
         Args:
             team: The team's limits.
-            teams_weight: Sum of the weights of teams with jobs here.
+            teams_weight: Sum of the weights of teams with jobs at this
+                instance.
             instances: Number of instances that share the limits.
             now: Time in seconds.
 
@@ -98,7 +116,7 @@
         """
         bucket = self._bucket(team, now)
         rate = team.jobs_per_s * self.share(team, instances, now)
-        self._fill(bucket, team, rate, now)
+        self._refill(bucket, team, rate, now)
         if self.jobs >= self._max_jobs:
             raise errors.Overloaded(
                 f'instance serves its limit of {self._max_jobs} jobs',
@@ -110,22 +128,22 @@
                 f'{team.jobs_per_s:g} jobs a second',
                 retry_after_s=round((1 - bucket.tokens) / rate, 2),
             )
-        if self.jobs >= BUSY_SHARE * self._max_jobs:
+        if self.jobs >= BUSY_RATIO * self._max_jobs:
             fair = self._max_jobs * team.weight / max(1e-9, teams_weight)
             if bucket.jobs >= fair:
                 raise errors.Overloaded(
                     f'team "{team.name}" has its share of {fair:.0f} jobs',
                     retry_after_s=0.5,
                 )
-        self._take(bucket, now)
+        self._reserve(bucket, now)
 
     @staticmethod
-    def _fill(bucket, team, rate, now):
+    def _refill(bucket, team, rate, now):
         gained = (now - bucket.filled_at) * rate
         bucket.tokens = min(float(team.burst_jobs), bucket.tokens + gained)
         bucket.filled_at = now
 
-    def _take(self, bucket, now):
+    def _reserve(self, bucket, now):
         bucket.tokens -= 1
         kept = max(0.0, 1 - (now - bucket.used_at) / RATE_WINDOW_S)
         bucket.used = bucket.used * kept + 1
@@ -134,11 +152,11 @@
         self.jobs += 1
 
     def busy_teams(self):
-        """Returns the names of the teams that have jobs here."""
+        """Returns the names of teams with jobs in progress."""
         return [name for name, b in self._buckets.items() if b.jobs]
 
     def release(self, team_name):
-        """Gives a job's place back."""
+        """Releases the place of a finished job."""
         bucket = self._buckets.get(team_name)
         if bucket is not None and bucket.jobs > 0:
             bucket.jobs -= 1
