--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -257,7 +257,7 @@
         )
         return allowed
 
-    def release(self, message):
+    def finish(self, message):
         """Notes how a job ended and books what it earned."""
         core = self._core
         record = self.book.end(
