--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -1,18 +1,20 @@
-"""The way of an answer to its client, with exactly one ending."""
+"""Response bodies that report how their delivery ended."""
 
 from dandelionwinch import errors
 
 
 class ResponseStream:
-    """Chunks on their way to a client, with exactly one ending.
+    """Iterator over the chunks of a response; reports its end once.
 
     Iterating to the end means that every chunk was written to the
-    client's connection; closing before means that the client went away.
+    client's connection; `close` before that means that the client
+    disconnected.
 
     Args:
         chunks: Generator of bytes.
-        finish: Function of a state, a code and a number of tokens.
-        tokens: Function that returns the tokens delivered.
+        finish: Function of the job's final state, an error code and the
+            number of delivered tokens; called at most once.
+        tokens: Function that returns the number of delivered tokens.
     """
 
     __slots__ = ('_chunks', '_finish', '_tokens')
@@ -29,24 +31,24 @@
         try:
             return next(self._chunks)
         except StopIteration:
-            self._end('done', '', self._tokens())
+            self._report_end('done', '', self._tokens())
             raise
         except errors.DandelionwinchError as exc:
-            self._end(final_state(exc), exc.code, 0)
+            self._report_end(final_state(exc), exc.code, 0)
             raise StopIteration from None
 
     def close(self):
-        """Ends the delivery; the client may be gone."""
+        """Stops the generator; reports the job as abandoned if not ended."""
         self._chunks.close()
-        self._end('abandoned', 'client_left', 0)
+        self._report_end('abandoned', 'client_left', 0)
 
-    def _end(self, state, code, tokens):
+    def _report_end(self, state, code, tokens):
         if self._finish is not None:
             finish, self._finish = self._finish, None
             finish(state, code, tokens)
 
 
 def final_state(exc):
-    """Returns the state of a job that ended with an error."""
+    """Returns the final state of a job that failed with an error."""
     unknown = exc.truth is errors.Truth.UNKNOWN
     return 'unknown' if unknown else 'refused'
