--- a/dandelionwinch/eventlog.py
+++ b/dandelionwinch/eventlog.py
@@ -1,4 +1,4 @@
-"""Structured events on standard output, bounded and never blocking."""
+"""Structured event log on standard output that never blocks."""
 
 import collections
 import json
@@ -11,10 +11,10 @@
 
 
 class EventLog:
-    """Writes one JSON object a line.
+    """Writes events as JSON objects, one a line.
 
-    Lines over the rate, or that standard output does not take, are
-    counted and the count is logged once there is room again.
+    Lines above the rate limit, or beyond the buffer when standard output
+    does not accept them, are dropped; their number is logged later.
     """
 
     __slots__ = (
@@ -23,9 +23,9 @@
         '_dropped',
         '_instance',
         '_pending',
-        '_room',
-        '_room_at',
-        '_size',
+        '_pending_bytes',
+        '_refilled_at',
+        '_tokens',
     )
 
     def __init__(self, instance, descriptor=1, clock=time.monotonic):
@@ -33,10 +33,10 @@
         self._descriptor = descriptor
         self._clock = clock
         self._pending = collections.deque()
-        self._size = 0
+        self._pending_bytes = 0
         self._dropped = 0
-        self._room = float(MAX_LINES_PER_S)
-        self._room_at = clock()
+        self._tokens = float(MAX_LINES_PER_S)
+        self._refilled_at = clock()
         os.set_blocking(descriptor, False)
 
     def event(self, name, **fields):
@@ -44,19 +44,19 @@
 
         Args:
             name: Stable name of the event.
-            **fields: What decided it and what came of it.
+            **fields: Its cause and its result.
         """
         now = self._clock()
-        earned = (now - self._room_at) * MAX_LINES_PER_S
-        self._room = min(float(MAX_LINES_PER_S), self._room + earned)
-        self._room_at = now
-        if self._room < 1 or self._size > MAX_PENDING_BYTES:
+        refill = (now - self._refilled_at) * MAX_LINES_PER_S
+        self._tokens = min(float(MAX_LINES_PER_S), self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1 or self._pending_bytes > MAX_PENDING_BYTES:
             self._dropped += 1
             return
-        self._room -= 1
-        self._add(name, now, fields)
+        self._tokens -= 1
+        self._append(name, now, fields)
 
-    def _add(self, name, now, fields):
+    def _append(self, name, now, fields):
         record = {
             'at': round(now, 4),
             'time': round(time.time(), 3),
@@ -66,13 +66,13 @@
         }
         line = json.dumps(record, default=str).encode() + b'\n'
         self._pending.append(line)
-        self._size += len(line)
+        self._pending_bytes += len(line)
 
     def flush(self):
-        """Writes what standard output takes now."""
-        if self._dropped and self._size < MAX_PENDING_BYTES:
+        """Writes as much as standard output accepts now."""
+        if self._dropped and self._pending_bytes < MAX_PENDING_BYTES:
             dropped, self._dropped = self._dropped, 0
-            self._add('log.dropped', self._clock(), {'lines': dropped})
+            self._append('log.dropped', self._clock(), {'lines': dropped})
         if not self._pending:
             return
         data = b''.join(self._pending)
@@ -81,7 +81,7 @@
             written = os.write(self._descriptor, data)
         except BlockingIOError:
             written = 0
-        rest = data[written:]
-        if rest:
-            self._pending.append(rest)
-        self._size = len(rest)
+        unwritten = data[written:]
+        if unwritten:
+            self._pending.append(unwritten)
+        self._pending_bytes = len(unwritten)
