--- a/dandelionwinch/attempts/_retry_budget.py
+++ b/dandelionwinch/attempts/_retry_budget.py
@@ -16,7 +16,7 @@
     allowance, the slack. The portions of all instances add up to less
     than the whole budget, which covers instances not known yet. The
     slack grows linearly to its full size over the first window: right
-    after a simultaneous restart no instance knows how many there are.
+    after a simultaneous restart no instance has counted the others yet.
 
     Args:
         ratio: Retries allowed for each request, for all instances.
