--- a/dandelionwinch/bench/_capacity.py
+++ b/dandelionwinch/bench/_capacity.py
@@ -105,7 +105,7 @@
 
 def _placing(row):
     core = round(100 * row['core_share_at_7.5_per_s'], 3)
-    memory = _memory_mb(_beliefs)
+    memory = _memory_mb(_estimates)
     return _line(
         'placement',
         'at most 16 candidates a site, nearest site first',
@@ -226,7 +226,7 @@
 
 def _known_members():
     return [
-        membership.Known(
+        membership.PeerState(
             peer_pb2.Member(
                 name=f'entry-{n}',
                 data_centre=f'data_centre-{n % DATA_CENTRES}',
@@ -249,9 +249,9 @@
     ]
 
 
-def _beliefs():
+def _estimates():
     return [
-        placement.Belief(
+        placement.LoadEstimate(
             name=f'lm-{n}',
             data_centre=f'data_centre-{n % DATA_CENTRES}',
             role=settings.Role.DECODE,
@@ -307,5 +307,5 @@
 def _ledger():
     ledger = earnings.Ledger('entry-1', 1)
     for number in range(TEAMS):
-        ledger.book(f'job-{number}', f'team-{number}', 10)
+        ledger.record_job(f'job-{number}', f'team-{number}', 10)
     return ledger
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -3,38 +3,37 @@
 from dandelionwinch.claims._bucket import Bucket
 from dandelionwinch.claims._bucket import Claim
 from dandelionwinch.claims._bucket import Close
-from dandelionwinch.claims._bucket import close_done
+from dandelionwinch.claims._bucket import close_with_answer
 from dandelionwinch.claims._bucket import Expired
 from dandelionwinch.claims._bucket import Full
 from dandelionwinch.claims._bucket import Granted
 from dandelionwinch.claims._bucket import Held
-from dandelionwinch.claims._bucket import Kept
 from dandelionwinch.claims._bucket import Open
 from dandelionwinch.claims._bucket import Recorded
 from dandelionwinch.claims._bucket import State
+from dandelionwinch.claims._bucket import StoredAnswer
 from dandelionwinch.claims._commit import bucket_key
 from dandelionwinch.claims._commit import bucket_of
 from dandelionwinch.claims._commit import commit_batch
 from dandelionwinch.claims._commit import Unreached
 from dandelionwinch.claims._commit import Unsettled
 from dandelionwinch.claims._keys import key_time
-from dandelionwinch.claims._once import AskOutcome
 from dandelionwinch.claims._once import CloseClaim
 from dandelionwinch.claims._once import Done
-from dandelionwinch.claims._once import Known
+from dandelionwinch.claims._once import NotGranted
 from dandelionwinch.claims._once import NotRun
 from dandelionwinch.claims._once import OpenClaim
 from dandelionwinch.claims._once import Outcome
-from dandelionwinch.claims._once import run_once
+from dandelionwinch.claims._once import QueryOutcome
+from dandelionwinch.claims._once import run_at_most_once
 from dandelionwinch.claims._once import SendCall
-from dandelionwinch.claims._once import Sent
+from dandelionwinch.claims._once import SendResult
 from dandelionwinch.claims._once import Unknown
-from dandelionwinch.claims._resolve import is_unfinished
-from dandelionwinch.claims._resolve import Proof
-from dandelionwinch.claims._resolve import resolution
+from dandelionwinch.claims._resolve import needs_resolution
+from dandelionwinch.claims._resolve import OutcomeStatus
+from dandelionwinch.claims._resolve import resolved_state
 
 __all__ = [
-    'AskOutcome',
     'Bucket',
     'Claim',
     'Close',
@@ -44,26 +43,27 @@
     'Full',
     'Granted',
     'Held',
-    'Kept',
-    'Known',
+    'NotGranted',
     'NotRun',
     'Open',
     'OpenClaim',
     'Outcome',
-    'Proof',
+    'OutcomeStatus',
+    'QueryOutcome',
     'Recorded',
     'SendCall',
-    'Sent',
+    'SendResult',
     'State',
+    'StoredAnswer',
     'Unknown',
     'Unreached',
     'Unsettled',
     'bucket_key',
     'bucket_of',
-    'close_done',
+    'close_with_answer',
     'commit_batch',
-    'is_unfinished',
     'key_time',
-    'resolution',
-    'run_once',
+    'needs_resolution',
+    'resolved_state',
+    'run_at_most_once',
 ]
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -4,9 +4,9 @@
 import random
 
 from dandelionwinch import addresses
-from dandelionwinch.control import _orders
+from dandelionwinch.control import _order_leader
+from dandelionwinch.control import _order_sender
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _steward
 from dandelionwinch.control import _sync
 from dandelionwinch import eventlog
 from dandelionwinch import gateway
@@ -25,17 +25,17 @@
         log: The EventLog.
     """
 
-    def __init__(self, loop, cfg, store, dialect, catalogue, log=None):
+    def __init__(self, loop, cfg, store, wire_codec, store_codec, log=None):
         self._loop = loop
         self._cfg = cfg
         self._store = store
         self.log = log or eventlog.EventLog(cfg.instance)
         self._rng = rng = random.Random()
-        self._gateway = gateway.Gateway(loop, dialect, self.log, cfg, rng)
-        self._sync = _sync.Sync(
+        self._gateway = gateway.Gateway(loop, wire_codec, self.log, cfg, rng)
+        self._sync = _sync.StoreSync(
             loop,
             store,
-            catalogue,
+            store_codec,
             self._gateway,
             cfg.capacity,
             self.log,
@@ -54,18 +54,20 @@
             store,
             self.log,
             self._presence,
-            max(_registration.LEASE_S, cfg.least_lease_s),
+            max(_registration.LEASE_S, cfg.min_lease_s),
         )
-        self._steward = _steward.Steward(
+        self._order_leader = _order_leader.OrderLeader(
             loop,
             store,
             self._sync,
             self._gateway,
-            _orders.OrderSender(self._gateway.fleet, dialect, cfg.instance),
+            _order_sender.OrderSender(
+                self._gateway.fleet, wire_codec, cfg.instance
+            ),
             self.log,
             rng,
             cfg,
-            _orders.boot_clock,
+            _order_sender.boot_clock,
         )
         self._servers = {}
         self._callers = gateway.Server(
@@ -121,7 +123,7 @@
         if not self._registered and not self._stopping:
             self._registered = True
             self._registration.start()
-            self._steward.start()
+            self._order_leader.start()
 
     @property
     def ready(self):
@@ -155,7 +157,7 @@
         """Ends a planned stop once nothing is left, or time is over."""
         began = self._loop.time()
         self._loop.create_task(self._registration.withdraw())
-        self._loop.create_task(self._steward.resign())
+        self._loop.create_task(self._order_leader.resign())
         self._callers.drain()
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
@@ -175,7 +177,7 @@
         """Stops all tasks and closes all sockets."""
         self._sync.close()
         self._registration.close()
-        self._steward.close()
+        self._order_leader.close()
         self._gateway.close()
         if self._flusher is not None:
             self._flusher.cancel()
--- a/dandelionwinch/control/_steward.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -19,7 +19,7 @@
 MAX_VIEW_AGE_S = 4.5
 
 
-class Steward:
+class OrderLeader:
     """A task that tries to become the holder and acts while it is.
 
     Its clock must also count suspension of the machine.
@@ -54,8 +54,8 @@
         self._log = log
         self._rng = rng
         self._name = cfg.instance
-        self._ttl_s = max(leadership.LEASE_S, cfg.least_lease_s)
-        self._leadership = leadership.Leadership(cfg.turn_s)
+        self._ttl_s = max(leadership.LEASE_S, cfg.min_lease_s)
+        self._leadership = leadership.Leadership(cfg.handover_s)
         self._lease = 0
         self._next_at = 0.0
         self._task = None
@@ -84,7 +84,7 @@
                     await self._renew()
                     await self._keep_size()
                     await self._act()
-                    await asyncio.sleep(leadership.RENEW_S)
+                    await asyncio.sleep(leadership.RENEW_INTERVAL_S)
                 else:
                     await self._take()
             except _store.StoreFailed as exc:
@@ -114,7 +114,7 @@
             await self._end(self._lease)
             self._lease = 0
             return
-        self._leadership.taken(token, asked_at)
+        self._leadership.acquired(token, asked_at)
         self._log.event('orders.held', token=token)
 
     async def _end(self, lease):
@@ -156,7 +156,7 @@
         if change is None:
             return
         self._next_at = now + SETTLE_S
-        belief = self._gateway.fleet.beliefs.get(change.upstream_id)
+        upstream = self._gateway.fleet.registry.get(change.upstream_id)
         await self._store.put(
             CHANGE_PREFIX + change.upstream_id,
             change.role.value.encode(),
@@ -165,8 +165,8 @@
         self._gateway.begin_role_change(change.upstream_id, CHANGE_S)
         await asyncio.sleep(ANNOUNCE_S)
         await self._renew()
-        if self._gateway.fleet.beliefs.serves(belief):
-            await self._order(belief, change)
+        if self._gateway.fleet.registry.serves(upstream):
+            await self._order(upstream, change)
         self._next_at = self._loop.time() + SETTLE_S
 
     def _plan(self, now):
@@ -176,19 +176,19 @@
                 continue
             engines = [
                 b
-                for b in fleet.beliefs.serving(service.name)
-                if b.changing_until <= now
+                for b in fleet.registry.serving(service.name)
+                if b.role_change_until <= now
             ]
             change = dispatch.plan_role(
-                engines, self._gateway.placer.answers(now)
+                engines, self._gateway.placer.peak_decodes(now)
             )
             if change is not None:
                 return change
         return None
 
-    async def _order(self, belief, change):
+    async def _order(self, upstream, change):
         sent = await self._sender.send(
-            belief, change, self._leadership.token, self._may_order
+            upstream, change, self._leadership.token, self._may_order
         )
         self._log.event(
             'orders.sent',
--- a/dandelionwinch/control/_orders.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -29,18 +29,18 @@
 class OrderSender:
     """Sends orders of one instance."""
 
-    __slots__ = ('_dialect', '_fleet', '_name')
+    __slots__ = ('_wire_codec', '_fleet', '_name')
 
-    def __init__(self, fleet, dialect, name):
+    def __init__(self, fleet, wire_codec, name):
         self._fleet = fleet
-        self._dialect = dialect
+        self._wire_codec = wire_codec
         self._name = name
 
-    async def send(self, belief, change, token, may_order):
+    async def send(self, upstream, change, token, may_order):
         """Sends an order that holds only for the engine's present state.
 
         Args:
-            belief: The engine.
+            upstream: The engine.
             change: The RoleOrder.
             token: Fencing token.
             may_order: Function that tells whether it may be sent now.
@@ -48,13 +48,15 @@
         Returns:
             Sent.
         """
-        pool = self._fleet.pool(belief)
+        pool = self._fleet.pool(upstream)
         try:
             accepted = await self._accepted(pool, change.upstream_id)
             if accepted is None:
                 return Sent(0, 'the engine is busy')
             request = gateway.request_bytes(
-                *self._dialect.order(change, self._name, token, accepted)
+                *self._wire_codec.order_request(
+                    change, self._name, token, accepted
+                )
             )
             conn = await pool.acquire(ORDER_TIMEOUT_S)
             try:
@@ -72,7 +74,7 @@
     async def _accepted(self, pool, upstream_id):
         """Returns the number of orders that an engine has accepted."""
         request = gateway.request_bytes(
-            *self._dialect.report(upstream_id), b''
+            *self._wire_codec.report_request(upstream_id), b''
         )
         conn = await pool.acquire(ORDER_TIMEOUT_S)
         try:
@@ -80,4 +82,4 @@
             _head, body = await gateway.read_response(conn, ORDER_TIMEOUT_S)
         finally:
             pool.discard(conn)
-        return self._dialect.accepted_orders(body)
+        return self._wire_codec.accepted_order_count(body)
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -91,7 +91,7 @@
         if not usable:
             return None
         best = max(usable, key=lambda k: utils.stable_hash(bucket, k.name))
-        return None if best is core.members.me else best
+        return None if best is core.members.local else best
 
     async def _route(self, mutation):
         number = claims.bucket_of(mutation.key, self._core.cfg.claims.buckets)
@@ -182,18 +182,18 @@
         core = self._core
         holder, incarnation, _request = claim.token.split('#')
         gone = core.departures.is_gone(holder, int(incarnation), clock.now)
-        if not claims.is_unfinished(claim, gone):
+        if not claims.needs_resolution(claim, gone):
             return
         answer = await self._ask_back_end(claim)
-        proof = claims.Proof.CANNOT_SAY
+        status = claims.OutcomeStatus.INDETERMINATE
         match answer:
             case service_adapter.Ran():
-                proof = claims.Proof.RAN
+                status = claims.OutcomeStatus.RAN
             case service_adapter.NeverSeen():
-                proof = claims.Proof.NEVER_SEEN
-        state = claims.resolution(
+                status = claims.OutcomeStatus.NEVER_SEEN
+        state = claims.resolved_state(
             claim,
-            proof,
+            status,
             gone,
             clock.wall - claim.changed,
             core.cfg.timing.gone_margin_s,
@@ -202,10 +202,10 @@
             return
         close = claims.Close(claim.key, claim.token, state)
         if isinstance(answer, service_adapter.Ran):
-            close = claims.close_done(
+            close = claims.close_with_answer(
                 claim.key,
                 claim.token,
-                claims.Kept(200, 'application/json', answer.body),
+                claims.StoredAnswer(200, 'application/json', answer.body),
                 core.cfg.claims.max_kept_answer_bytes,
             )
         await self.write(bucket, close)
--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -21,12 +21,12 @@
 
     def book(self, record, tokens):
         """Books a job whose whole answer reached its client."""
-        self.ledger.book(record.id, record.team, tokens)
+        self.ledger.record_job(record.id, record.team, tokens)
 
     async def _write_if_due(self):
         core = self._core
         now = core.now()
-        period_s = earnings.write_period(
+        period_s = earnings.write_interval_s(
             core.cfg.timing.earnings_s, len(core.members.live(now))
         )
         if now - self._written_at >= period_s * DUE_SHARE:
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_loads.py
@@ -108,13 +108,13 @@
         if self._core.catalog.get('upstream', message.upstream) is None:
             return
         self._seen[message.upstream] = _Seen(made_at, message)
-        beliefs = self._core.work.beliefs
+        estimates = self._core.scheduler.estimates
         if message.failed:
-            beliefs.failed(message.upstream, self._core.now())
+            estimates.failed(message.upstream, self._core.now())
             return
         if message.role not in set(settings.Role):
             return
-        beliefs.report(
+        estimates.report(
             message.upstream,
             placement.Report(
                 made_at,
@@ -154,7 +154,7 @@
                 core.event('upstream.held', request.upstream, request.order_id)
             self._holds[key] = core.now() + request.ttl_s
         self._mark_held(request.upstream)
-        jobs = core.work.book.on_upstream(request.upstream)
+        jobs = core.scheduler.job_history.count_on_upstream(request.upstream)
         return peer_pb2.HoldReply(jobs=jobs, instance=core.name)
 
     def is_held(self, upstream):
@@ -162,9 +162,9 @@
         return any(name == upstream for name, _order in self._holds)
 
     def _mark_held(self, upstream):
-        belief = self._core.work.beliefs.get(upstream)
-        if belief is not None:
-            belief.held = self.is_held(upstream)
+        estimate = self._core.scheduler.estimates.get(upstream)
+        if estimate is not None:
+            estimate.held = self.is_held(upstream)
 
     def _end_holds(self, now):
         over = [key for key, until in self._holds.items() if until < now]
--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -50,5 +50,5 @@
 
 def final_state(exc):
     """Returns the final state of a job that failed with an error."""
-    unknown = exc.truth is errors.Truth.UNKNOWN
+    unknown = exc.execution is errors.ExecutionStatus.UNKNOWN
     return 'unknown' if unknown else 'refused'
--- a/dandelionwinch/dispatch/_pace.py
+++ b/dandelionwinch/dispatch/_pace.py
@@ -26,7 +26,7 @@
 OCTAVE_S = 0.03
 
 
-class Pace:
+class RateLimiter:
     """A token bucket whose rate follows the delay of first tokens.
 
     Rates are prompt tokens per second. A prompt is admitted while the
@@ -36,7 +36,7 @@
     __slots__ = (
         '_balance',
         '_changed_at',
-        '_parts',
+        '_instance_count',
         '_limited',
         '_mean',
         '_rate',
@@ -44,10 +44,10 @@
         '_speed',
     )
 
-    def __init__(self, speed, parts, now):
+    def __init__(self, speed, instance_count, now):
         self._speed = speed
-        self._parts = parts
-        self._rate = min(speed, FIRST_SHARE * speed / parts)
+        self._instance_count = instance_count
+        self._rate = min(speed, FIRST_SHARE * speed / instance_count)
         self._balance = self._rate * BURST_S
         self._read_at = now
         self._changed_at = now
@@ -81,7 +81,7 @@
         self._balance = min(most, self._balance + earned)
         self._read_at = now
 
-    def observe(self, excess_s, objective_s, speed, parts, now):
+    def observe(self, excess_s, objective_s, speed, instance_count, now):
         """Adjusts the rate by one first token.
 
         Args:
@@ -92,7 +92,7 @@
             now: Time in seconds.
         """
         self._speed = speed
-        self._parts = parts
+        self._instance_count = instance_count
         if excess_s > HIGH_SHARE * objective_s:
             self.slow_down(now)
         elif excess_s < LOW_SHARE * objective_s and self._limited:
@@ -107,13 +107,13 @@
         if now - self._changed_at < STEP_S:
             return
         self._refill(now)
-        least = LEAST_SHARE * self._speed / self._parts
+        least = LEAST_SHARE * self._speed / self._instance_count
         self._rate = max(least, min(MOST_SHARE * self._speed, rate))
         self._changed_at = now
 
     def is_untouched(self):
         """Tells whether no delay has lowered the rate."""
-        first = FIRST_SHARE * self._speed / self._parts
+        first = FIRST_SHARE * self._speed / self._instance_count
         return self._rate >= min(self._speed, first) * UNTOUCHED_SHARE
 
     @property
--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -4,12 +4,12 @@
 
 import loguru
 
-from dandelionwinch import calls
+from dandelionwinch import completion_relay
 from dandelionwinch import daemon
 from dandelionwinch.daemon import messages
 from dandelionwinch import errors
 from dandelionwinch import listeners
-from dandelionwinch import relay
+from dandelionwinch import service_relay
 
 OPERATOR_THREADS = 8
 DEFAULT_TEAM = 'default'
@@ -30,8 +30,8 @@
     def __init__(self, cfg):
         self._cfg = cfg
         self._core = daemon.Core(cfg)
-        self._relay = relay.Relay(self._core)
-        self._calls = calls.Calls(self._core)
+        self._completion_relay = completion_relay.CompletionRelay(self._core)
+        self._service_relay = service_relay.ServiceRelay(self._core)
         self._clients = listeners.Listener(
             cfg.instance.client_address,
             self._serve_client,
@@ -71,7 +71,7 @@
         """Closes listeners and the core at once."""
         self._clients.close()
         self._operators.close()
-        self._calls.close()
+        self._service_relay.close()
         self._core.close()
         logger.info('stopped')
 
@@ -86,10 +86,12 @@
             case ('GET', '/v1/models'):
                 return self._models()
             case ('POST', path) if path in _COMPLETIONS:
-                return self._relay.serve(request, team)
+                return self._completion_relay.serve(request, team)
             case (_, path) if path.startswith(_SERVICES):
                 name, _, rest = path.removeprefix(_SERVICES).partition('/')
-                return self._calls.serve(request, name, f'/{rest}', team)
+                return self._service_relay.serve(
+                    request, name, f'/{rest}', team
+                )
         raise errors.NotFound(
             f'path "{request.path}" does not exist for {request.method}'
         )
@@ -102,7 +104,7 @@
                     content_type='text/plain; version=0.0.4',
                 )
             case '/readyz':
-                reason = self._core.ask(messages.Health())
+                reason = self._core.request(messages.CheckReadiness())
                 status = 503 if reason else 200
                 value = {'ready': not reason, 'reason': reason}
                 return listeners.json_response(value, status)
@@ -111,7 +113,7 @@
     def _address(self, request, team):
         data_centre = request.query.get('data_centre', self._core.data_centre)
         team = request.query.get('team', team)
-        found = self._core.ask(messages.FindAddress(data_centre, team))
+        found = self._core.request(messages.FindAddress(data_centre, team))
         return listeners.json_response(
             {
                 'address': found.address,
@@ -141,4 +143,6 @@
             text = request.body.decode('utf-8')
         except UnicodeDecodeError as exc:
             raise errors.BadRequest('statement is not UTF-8') from exc
-        return listeners.json_response(self._core.ask(messages.Ask(text)))
+        return listeners.json_response(
+            self._core.request(messages.RunStatement(text))
+        )
--- a/dandelionwinch/gateway/_call_handler.py
+++ b/dandelionwinch/gateway/_call_handler.py
@@ -13,7 +13,7 @@
         """Sends the call to one upstream and relays its response."""
         now = self._loop.time()
         upstream = dispatch.choose_plain(
-            self._fleet.beliefs.serving(self._service),
+            self._fleet.registry.serving(self._service),
             self._tried | self._unavailable,
             self._gateway.distances,
             self._gateway.rng,
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -13,29 +13,29 @@
     """The upstreams as one instance uses them.
 
     Attributes:
-        beliefs: State of each upstream.
+        registry: State of each upstream.
         instance_count: Instances that share the connection limits, in
             units of this instance's capacity.
         table: The RouteTable, None before the first one is known.
-        typical: Typical latency of each service.
+        latency_baseline: Typical latency of each service.
     """
 
     __slots__ = (
         '_loop',
         '_pools',
-        'beliefs',
         'instance_count',
+        'latency_baseline',
+        'registry',
         'table',
-        'typical',
     )
 
     def __init__(self, loop):
         self._loop = loop
         self._pools = {}
-        self.beliefs = upstreams.Beliefs()
+        self.registry = upstreams.Registry()
         self.instance_count = 1.0
         self.table = None
-        self.typical = upstreams.Typical()
+        self.latency_baseline = upstreams.LatencyBaseline()
 
     def pool(self, upstream):
         """Returns the connection pool of one incarnation of an upstream."""
@@ -58,10 +58,10 @@
 
     def sweep(self, now):
         """Closes idle connections and those to deregistered upstreams."""
-        self.beliefs.forget(now, FORGET_UPSTREAM_AFTER_S)
+        self.registry.forget(now, FORGET_UPSTREAM_AFTER_S)
         serving = {
             (u.entry.id, u.entry.born, u.entry.address)
-            for u in self.beliefs
+            for u in self.registry
             if u.gone_at is None
         }
         for key, pool in list(self._pools.items()):
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -30,7 +30,6 @@
         '_sweep_timer',
         'active',
         'budget',
-        'dialect',
         'distances',
         'fleet',
         'log',
@@ -38,11 +37,12 @@
         'metrics',
         'placer',
         'rng',
+        'wire_codec',
     )
 
-    def __init__(self, loop, dialect, log, cfg, rng=None):
+    def __init__(self, loop, wire_codec, log, cfg, rng=None):
         self.loop = loop
-        self.dialect = dialect
+        self.wire_codec = wire_codec
         self.log = log
         self.rng = rng or random.Random()
         self.distances = dispatch.Distances(cfg.data_centre, cfg.regions)
@@ -91,14 +91,16 @@
         head = incoming.head
         table = self.fleet.table
         if table is None:
-            headers = self.dialect.retry_after_headers(NO_ROUTES_RETRY_AFTER_S)
+            headers = self.wire_codec.retry_after_headers(
+                NO_ROUTES_RETRY_AFTER_S
+            )
             self._reject(caller, incoming, 503, 'no routes yet', headers)
             return
         route = table.match(head.header('host'), head.path)
         if route is None:
             self._reject(caller, incoming, 404, 'no route matches')
             return
-        req = self.dialect.parse_request(head, bytes(incoming.body))
+        req = self.wire_codec.parse_request(head, bytes(incoming.body))
         handler_class = _call_handler.CallHandler
         if route.streaming and req.prompt is not None:
             handler_class = _generation_handler.GenerationHandler
@@ -131,7 +133,7 @@
                 instance's capacity.
         """
         self.fleet.instance_count = instance_count
-        self.placer.parts = instance_count
+        self.placer.instance_count = instance_count
 
     def begin_role_change(self, upstream_id, span_s):
         """Excludes an engine from placement while its role changes.
@@ -141,15 +143,15 @@
             span_s: Longest time to exclude it, unless
                 `end_role_change` is called before.
         """
-        upstream = self.fleet.beliefs.get(upstream_id)
+        upstream = self.fleet.registry.get(upstream_id)
         if upstream is not None:
-            upstream.changing_until = self.loop.time() + span_s
+            upstream.role_change_until = self.loop.time() + span_s
 
     def end_role_change(self, upstream_id):
         """Includes an engine in placement again."""
-        upstream = self.fleet.beliefs.get(upstream_id)
+        upstream = self.fleet.registry.get(upstream_id)
         if upstream is not None:
-            upstream.changing_until = 0.0
+            upstream.role_change_until = 0.0
 
     def spend_retry(self, service):
         """Spends a retry of the shared budget; tells whether there was one."""
@@ -165,7 +167,7 @@
             request=request_id,
             prefill=prefill.entry.id if prefill else '',
             decode=placement.decode.entry.id,
-            lane=placement.lane.value,
+            lane=placement.priority_class.value,
             terms=placement.terms,
         )
 
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -29,7 +29,7 @@
         prompt = self._req.prompt
         placement = self._gateway.placer.place(
             prompt,
-            self._fleet.beliefs.serving(self._service),
+            self._fleet.registry.serving(self._service),
             self._tried | self._unavailable,
             now,
             direct=bool(self._attempt_count),
@@ -77,13 +77,13 @@
         """
         upstream = placement.prefill
         params = self._params(
-            upstream, prefill_only=True, urgency=placement.urgency
+            upstream, prefill_only=True, priority=placement.priority
         )
         pool, conn = await self._acquire(upstream)
         try:
             async with self._open_exchange(upstream, pool, conn) as exchange:
                 handle = await self._request_prefill(
-                    exchange, params, placement.lane
+                    exchange, params, placement.priority_class
                 )
         except _upstream_exchange.AttemptFailed as exc:
             self._attempt_count += 1
@@ -92,15 +92,15 @@
             ) from exc
         return f'{upstream.entry.address}/{handle}'
 
-    async def _request_prefill(self, exchange, params, lane):
+    async def _request_prefill(self, exchange, params, priority_class):
         exchange.send(params)
         idle_timeout_s = self._left_s()
-        if lane is not dispatch.Lane.BACKGROUND:
+        if priority_class is not dispatch.PriorityClass.BACKGROUND:
             idle_timeout_s = PREFILL_TIMEOUT_FACTOR * self._route.objective_s
         head = await exchange.read_head(idle_timeout_s)
         body = await exchange.read_body(idle_timeout_s)
-        reply = self._gateway.dialect.parse_reply(head)
-        handle = self._gateway.dialect.kv_handle(body)
+        reply = self._gateway.wire_codec.parse_reply(head)
+        handle = self._gateway.wire_codec.kv_handle(body)
         if head.status != 200 or not handle:
             outcome = attempts.AttemptOutcome.UNKNOWN
             if reply.not_executed:
@@ -113,10 +113,10 @@
     def _with_serving_decoder(self, placement):
         """Replaces a decode engine that stopped serving meanwhile."""
         now = self._loop.time()
-        if self._fleet.beliefs.serves(placement.decode):
+        if self._fleet.registry.serves(placement.decode):
             return placement
         other = self._gateway.placer.replace_decoder(
-            placement, self._fleet.beliefs.serving(self._service), now
+            placement, self._fleet.registry.serving(self._service), now
         )
         if other is None:
             raise self._no_upstream()
@@ -146,11 +146,11 @@
     async def _decode_at(self, placement, kv_source, started_at):
         upstream = placement.decode
         pool, conn = await self._begin_attempt(upstream)
-        urgency = placement.urgency
+        priority = placement.priority
         if kv_source:
-            urgency = dispatch.HANDED_OVER_URGENCY
+            priority = dispatch.HANDOVER_PRIORITY
             self._gateway.placer.handed_over(placement, self._loop.time())
-        params = self._params(upstream, kv_source=kv_source, urgency=urgency)
+        params = self._params(upstream, kv_source=kv_source, priority=priority)
         async with self._open_exchange(upstream, pool, conn) as exchange:
             await self._relay_stream(exchange, params, placement, started_at)
 
@@ -163,7 +163,7 @@
         exchange.send(params)
         idle_timeout_s = self._idle_timeout_s()
         head = await exchange.read_head(idle_timeout_s)
-        reply = self._gateway.dialect.parse_reply(head)
+        reply = self._gateway.wire_codec.parse_reply(head)
         if head.status != 200 or not reply.signed or reply.not_executed:
             await self._handle_error(
                 exchange, head, placement.decode, idle_timeout_s
@@ -181,7 +181,7 @@
                     self._record_first_event(placement, started_at)
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
-                    self._gateway.placer.paused(
+                    self._gateway.placer.token_gap(
                         placement, now - last_at, self._route.event_gap_s, now
                     )
                 last_at = now
--- a/dandelionwinch/gateway/_messages.py
+++ b/dandelionwinch/gateway/_messages.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A caller's request, as parsed by a Dialect.
+    """A caller's request, as parsed by a WireCodec.
 
     Attributes:
         id: Id of the request.
@@ -38,7 +38,7 @@
     Attributes:
         upstream_id: The only upstream that may execute the request.
         timeout_s: Time that remains until the deadline.
-        urgency: 0 (highest) to 9, None for the default of the upstream.
+        priority: 0 (highest) to 9, None for the default of the upstream.
         prefill_only: Whether to prefill the prompt without decoding.
         kv_source: Address and handle of the KV cache of a prefilled
             prompt, or ''.
@@ -48,7 +48,7 @@
 
     upstream_id: str
     timeout_s: float
-    urgency: int | None = None
+    priority: int | None = None
     prefill_only: bool = False
     kv_source: str = ''
     last_event_id: int | None = None
@@ -70,7 +70,7 @@
     signed: bool
 
 
-class Dialect(typing.Protocol):
+class WireCodec(typing.Protocol):
     """Codec between the platform's headers and the gateway's types."""
 
     def parse_request(self, head, body):
--- a/dandelionwinch/gateway/_request_handler.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -190,7 +190,7 @@
             wait_s = MIN_RETRY_AFTER_S + self._gateway.rng.random() * (
                 RETRY_AFTER_JITTER_S
             )
-            headers = self._gateway.dialect.retry_after_headers(wait_s)
+            headers = self._gateway.wire_codec.retry_after_headers(wait_s)
         self.outcome = status.name.lower()
         self._caller.respond(int(status), headers, reason.encode())
         self._gateway.record_response(self, int(status), reason)
@@ -216,7 +216,9 @@
             upstream.entry.data_centre
         )
         service_s = now - started_at - round_trip_s
-        excess_s = self._fleet.typical.excess_s(self._service, service_s)
+        excess_s = self._fleet.latency_baseline.excess_s(
+            self._service, service_s
+        )
         upstream.succeeded(excess_s, now)
         if retryable:
             raise _upstream_exchange.AttemptFailed(
@@ -271,7 +273,7 @@
             upstream.failed(now)
             upstream.eject(now)
             raise self._not_sent(upstream, str(exc)) from exc
-        if not self._fleet.beliefs.serves(upstream):
+        if not self._fleet.registry.serves(upstream):
             # It began to drain while this request waited.
             pool.release_unused(conn)
             reason = f'upstream "{upstream.entry.id}" is leaving'
@@ -323,7 +325,7 @@
             yield _upstream_exchange.UpstreamExchange(
                 self._loop,
                 conn,
-                self._gateway.dialect,
+                self._gateway.wire_codec,
                 self._req,
                 self._deadline,
             )
--- a/dandelionwinch/gateway/_upstream_exchange.py
+++ b/dandelionwinch/gateway/_upstream_exchange.py
@@ -43,12 +43,12 @@
     late on a reused connection.
     """
 
-    __slots__ = ('_conn', '_deadline', '_dialect', '_loop', '_req')
+    __slots__ = ('_conn', '_deadline', '_wire_codec', '_loop', '_req')
 
-    def __init__(self, loop, conn, dialect, req, deadline):
+    def __init__(self, loop, conn, wire_codec, req, deadline):
         self._loop = loop
         self._conn = conn
-        self._dialect = dialect
+        self._wire_codec = wire_codec
         self._req = req
         self._deadline = deadline
 
@@ -84,7 +84,7 @@
     def send(self, params):
         """Sends the request with the AttemptParams."""
         req = self._req
-        headers = self._dialect.request_headers(req, params)
+        headers = self._wire_codec.request_headers(req, params)
         data = _codec.request_bytes(req.method, req.target, headers, req.body)
         self._conn.send(data)
 
@@ -96,7 +96,7 @@
             head = await self.read_item(left_s)
             while not isinstance(head, _codec.Head):
                 head = await self.read_item(left_s)
-            reply = self._dialect.parse_reply(head)
+            reply = self._wire_codec.parse_reply(head)
             if reply.request_id == self._req.id:
                 return head
             if not reply.request_id:
@@ -128,7 +128,7 @@
         Raises:
             AttemptFailed: If it did not.
         """
-        reply = self._dialect.parse_reply(response.head)
+        reply = self._wire_codec.parse_reply(response.head)
         status = response.head.status
         if reply.not_executed or status == MISDIRECTED_STATUS:
             raise AttemptFailed(
--- a/dandelionwinch/platform/_entry.py
+++ b/dandelionwinch/platform/_entry.py
@@ -12,9 +12,9 @@
 
 from dandelionwinch import control
 from dandelionwinch.platform import _boot
-from dandelionwinch.platform import _catalogue
-from dandelionwinch.platform import _dialect
 from dandelionwinch.platform import _store
+from dandelionwinch.platform import _store_codec
+from dandelionwinch.platform import _wire_codec
 
 METRICS_PORT = 9464
 _JSON = (('Content-Type', 'application/json'),)
@@ -31,8 +31,8 @@
             loop,
             cfg,
             _store.Store(loop, cfg.store),
-            _dialect.Dialect(),
-            _catalogue.Catalogue(),
+            _wire_codec.WireCodec(),
+            _store_codec.StoreCodec(),
             log,
         )
         add = self.instance.add_server
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -38,7 +38,7 @@
 )
 
 
-class Dialect:
+class WireCodec:
     """The platform's headers in the gateway's types."""
 
     __slots__ = ()
@@ -74,8 +74,8 @@
         pairs.append((TIMEOUT_MS, str(max(1, int(params.timeout_s * 1e3)))))
         if params.last_event_id is not None:
             pairs.append((LAST_EVENT_ID, str(params.last_event_id)))
-        if params.urgency is not None:
-            pairs.append((PRIORITY, str(params.urgency)))
+        if params.priority is not None:
+            pairs.append((PRIORITY, str(params.priority)))
         if params.prefill_only:
             pairs.append((STAGE, 'prefill'))
         if params.kv_source:
@@ -99,7 +99,7 @@
         handle = value.get('kvHandle') if isinstance(value, dict) else None
         return handle if isinstance(handle, str) else ''
 
-    def order(self, role_order, holder, token, sequence):
+    def order_request(self, role_order, holder, token, sequence):
         """Returns method, path, headers and body of an order."""
         body = {
             'op': 'phase',
@@ -115,12 +115,12 @@
         ]
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
-    def report(self, upstream_id):
+    def report_request(self, upstream_id):
         """Returns method, path and headers of a question for a report."""
         headers = [('Host', 'engine'), (TARGET, upstream_id)]
         return 'GET', '/-/report', headers
 
-    def accepted_orders(self, body):
+    def accepted_order_count(self, body):
         """Returns the number of orders a report counts, None if busy.
 
         The `sequence` of an entry in the store counts heartbeats; only
--- a/dandelionwinch/search/_settings.py
+++ b/dandelionwinch/search/_settings.py
@@ -142,7 +142,7 @@
 
         def arrive():
             held = peer.documents
-            documents = held.after(caller.documents.revision)
+            documents = held.changed_since(caller.documents.revision)
             caller.process.soon(
                 _world.LATENCY_S, caller.adopt, held.revision, documents
             )
@@ -168,15 +168,15 @@
         if isinstance(result, revisions.Changed):
             self._commits[result.revision] = self.world.now
             peer.fetch()
-            data_centres = membership.staffed_data_centres(peer.remaining())
-            watch = revisions.AcceptanceWatch(
+            data_centres = membership.populated_data_centres(peer.remaining())
+            watch = revisions.RolloutTracker(
                 result.revision, data_centres, self.timing.cut_off_s
             )
             self._await(peer, watch, result.revision, peer.now())
 
     def _await(self, peer, watch, revision, committed_at):
         now = peer.now()
-        peer.members.me.revision = peer.documents.revision
+        peer.members.local.revision = peer.documents.revision
         members = peer.remaining()
         if watch.observe(members, now).accepted:
             self.accepted = max(self.accepted, revision)
--- a/dandelionwinch/tests/conftest.py
+++ b/dandelionwinch/tests/conftest.py
@@ -4,33 +4,34 @@
 
 import pytest
 
-from dandelionwinch.tests import world as world_module
+from dandelionwinch.tests import entry_harness
 
 
 @pytest.fixture(scope='module')
-def shared_world(tmp_path_factory):
-    made = world_module.World()
-    made.start(tmp_path_factory.mktemp('world'))
+def shared_harness(tmp_path_factory):
+    made = entry_harness.EntryHarness()
+    made.start(tmp_path_factory.mktemp('entry'))
     yield made
     made.close()
 
 
 @pytest.fixture
-def world(shared_world):
+def harness(shared_harness):
     """The shared instance, with all faults taken back afterwards."""
-    yield shared_world
-    shared_world.store.down = False
-    shared_world.store.lose_answers = 0
-    shared_world.service.lose_answers = 0
-    shared_world.service.alive = True
-    for server in shared_world.upstreams:
+    yield shared_harness
+    shared_harness.store.down = False
+    shared_harness.store.lose_answers = 0
+    shared_harness.service.lose_answers = 0
+    shared_harness.service.alive = True
+    for server in shared_harness.upstreams:
         server.silent_streams = 0
         if not server.engine.alive:
             server.engine.restart()
-    core = shared_world.entry.core
-    world_module.wait_until(
+    core = shared_harness.entry.core
+    entry_harness.wait_until(
         lambda: all(
-            belief.usable(core.now()) for belief in core.work.beliefs.all()
+            estimate.usable(core.now())
+            for estimate in core.scheduler.estimates.all()
         ),
         'all upstreams usable again',
     )
--- a/dandelionwinch/tests/gateway_harness.py
+++ b/dandelionwinch/tests/gateway_harness.py
@@ -6,7 +6,7 @@
 import attrs
 
 from dandelionwinch import gateway
-from dandelionwinch.platform import _dialect
+from dandelionwinch.platform import _wire_codec
 from dandelionwinch.platform import samples
 from dandelionwinch import routes
 from dandelionwinch.standins import scripted
@@ -16,13 +16,13 @@
 
 def response(body=b'hello', status='200 OK', more='', request_id='{id}'):
     """Returns a signed response with Content-Length."""
-    head = samples.answer_head(
+    head = samples.response_head(
         request_id, f'Content-Length: {len(body)}', status, more
     )
     return head + body
 
 
-STREAM_HEAD = samples.answer_head(
+STREAM_HEAD = samples.response_head(
     '{id}',
     'Transfer-Encoding: chunked',
     more='X-Head: first\r\nContent-Type: text/event-stream\r\n',
@@ -93,7 +93,7 @@
             for s in self._scripts
         ]
         self.gateway = gateway.Gateway(
-            loop, _dialect.Dialect(), self.log, Config(), random.Random(1)
+            loop, _wire_codec.WireCodec(), self.log, Config(), random.Random(1)
         )
         services = [routes.Service('s', 100)]
         self.gateway.fleet.table = routes.RouteTable(
@@ -101,7 +101,7 @@
         )
         for number, upstream in enumerate(self.upstreams):
             await upstream.start()
-            self.gateway.fleet.beliefs.apply(
+            self.gateway.fleet.registry.apply(
                 upstreams.Entry(
                     f'u{number}',
                     's',
--- a/dandelionwinch/tests/test_calls.py
+++ b/dandelionwinch/tests/test_calls.py
@@ -7,7 +7,7 @@
 from dandelionwinch.standins import scripted
 from dandelionwinch.tests import gateway_harness
 
-WITHOUT_ID = samples.answer_head('', 'Content-Length: 0')
+WITHOUT_ID = samples.response_head('', 'Content-Length: 0')
 
 
 def test_request_and_answer_are_handed_on_unchanged():
@@ -133,7 +133,7 @@
 
 
 def test_a_body_without_length_is_whole_when_its_connection_ends():
-    head = samples.answer_head('{id}')
+    head = samples.response_head('{id}')
     response, _seen = gateway_harness.send_one(
         [[[head + b'all', scripted.CLOSE]]], '/once/1'
     )
@@ -145,7 +145,7 @@
 
 
 def test_an_unsigned_success_is_no_answer():
-    unsigned = samples.answer_head('{id}', 'Content-Length: 0', signed=False)
+    unsigned = samples.response_head('{id}', 'Content-Length: 0', signed=False)
     response, _seen = gateway_harness.send_one([[[unsigned]]], '/once/1')
     assert response[0] == 502
 
@@ -279,7 +279,7 @@
     ]
 
     async def scenario(harness):
-        registry = harness.gateway.fleet.beliefs
+        registry = harness.gateway.fleet.registry
         farther = attrs.evolve(registry.get('u1').entry, data_centre='far')
         registry.apply(farther)
         got = []
--- a/dandelionwinch/tests/test_deciders.py
+++ b/dandelionwinch/tests/test_deciders.py
@@ -33,7 +33,7 @@
 
 class _Work:
     def __init__(self, quarantined):
-        self.beliefs = self
+        self.estimates = self
         self._quarantined = quarantined
         self.chosen = []
 
@@ -55,7 +55,7 @@
         self.members = self
         self.catalog = self
         self.peers = _Peers(reply)
-        self.work = _Work(['slow'])
+        self.scheduler = _Work(['slow'])
         self.events = []
         self.time = 0.0
         self._names = names
@@ -82,7 +82,7 @@
 
 
 def _usual():
-    return placement.usual_decider([n for n, _dc in NEAR], 'dc', 'lm')
+    return placement.choose_owner([n for n, _dc in NEAR], 'dc', 'lm')
 
 
 def _other():
@@ -136,4 +136,4 @@
     request = deciders._request(QUERY)
     reply = deciders.answer(request)
     assert _wire.load_choice(reply) == HERE
-    assert core.work.chosen[0].exclude == frozenset({'bad', 'slow'})
+    assert core.scheduler.chosen[0].exclude == frozenset({'bad', 'slow'})
--- a/dandelionwinch/tests/test_dispatch.py
+++ b/dandelionwinch/tests/test_dispatch.py
@@ -34,9 +34,11 @@
     first = fleet.place(made, fleet.prompt(), beliefs)
     made.sent(fleet.prompt(), first, 0.0)
     again = fleet.place(made, fleet.prompt(), beliefs, 1.0)
-    assert (first.fresh_tokens, again.fresh_tokens) == (9000, 3000)
+    assert (first.uncached_tokens, again.uncached_tokens) == (9000, 3000)
     made.forget('e0')
-    assert fleet.place(made, fleet.prompt(), beliefs, 2.0).fresh_tokens == 9000
+    assert (
+        fleet.place(made, fleet.prompt(), beliefs, 2.0).uncached_tokens == 9000
+    )
 
 
 def test_a_prompt_for_a_prefill_engine_gets_an_engine_for_its_answer():
@@ -61,7 +63,7 @@
     short = dispatch.Prompt(140, 400, (('p', 40), ('q', 100)))
     found = fleet.place(fleet.placer(), short, beliefs)
     assert found.prefill is None
-    assert found.lane is dispatch.Lane.ANSWER
+    assert found.priority_class is dispatch.PriorityClass.ANSWER
 
 
 def test_without_an_engine_for_answers_nothing_is_placed():
@@ -73,7 +75,7 @@
     found = fleet.place(
         fleet.placer(), fleet.prompt(), fleet.engines(2), late=True
     )
-    assert found.lane is dispatch.Lane.BACKGROUND
+    assert found.priority_class is dispatch.PriorityClass.BACKGROUND
 
 
 def test_background_has_a_bound_and_then_nothing_is_placed():
@@ -97,7 +99,7 @@
     placement = fleet.place(made, fleet.prompt(), [belief])
     before = made._pace(belief, 0.0).rate
     for step in range(1, 20):
-        made.paused(placement, 0.14, 0.15, step * 0.2)
+        made.token_gap(placement, 0.14, 0.15, step * 0.2)
     assert made._pace(belief, 4.0).rate < before / 2
 
 
@@ -121,7 +123,7 @@
 
 
 def test_small_prompts_are_admitted_where_a_large_one_waits():
-    pace = dispatch.Pace(fleet.SPEED, 1, 0.0)
+    pace = dispatch.RateLimiter(fleet.SPEED, 1, 0.0)
     while pace.admit(3000, 0.0):
         pass
     assert not pace.admit(3000, 0.0)
@@ -129,7 +131,7 @@
     assert pace.admit(300, 0.0)
     times = {}
     for tokens in (3000, 12000):
-        waiting = dispatch.Pace(fleet.SPEED, 1, 0.0)
+        waiting = dispatch.RateLimiter(fleet.SPEED, 1, 0.0)
         while waiting.admit(3000, 0.0):
             pass
         now = 0.0
@@ -147,10 +149,10 @@
     made = fleet.placer()
     belief = fleet.engines(1)
     fresh = fleet.place(made, fleet.prompt(), belief)
-    while fresh.lane is dispatch.Lane.URGENT:
+    while fresh.priority_class is dispatch.PriorityClass.URGENT:
         fresh = fleet.place(made, fleet.prompt(), belief)
-    assert fresh.lane is dispatch.Lane.BACKGROUND
-    assert returned.urgency < fresh.urgency
+    assert fresh.priority_class is dispatch.PriorityClass.BACKGROUND
+    assert returned.priority < fresh.priority
 
 
 def test_a_prompt_without_a_first_sign_slows_its_engine_down_at_once():
--- a/dandelionwinch/tests/test_limits.py
+++ b/dandelionwinch/tests/test_limits.py
@@ -71,8 +71,8 @@
 def test_a_job_is_earned_once_and_a_lost_answer_counts_once():
     memory = store.MemoryStore()
     ledger = earnings.Ledger('a', 1)
-    assert ledger.book('job-1', 'team', 10)
-    assert not ledger.book('job-1', 'team', 10)
+    assert ledger.record_job('job-1', 'team', 10)
+    assert not ledger.record_job('job-1', 'team', 10)
     lost = []
 
     def execute(request):
@@ -91,10 +91,10 @@
 
 
 def test_pieces_of_a_superseded_attempt_are_dropped():
-    answer = jobs.Assembly()
-    first = answer.carry_on()
+    answer = jobs.AnswerAssembly()
+    first = answer.start_continuation()
     assert answer.accept(first, 0, 'a')
-    second = answer.carry_on()
+    second = answer.start_continuation()
     assert not answer.accept(first, 1, 'late')
     assert not answer.end(first)
     assert answer.accept(second, 0, 'b')
@@ -105,8 +105,8 @@
 
 
 def test_a_resumed_attempt_keeps_its_offsets():
-    answer = jobs.Assembly()
-    attempt = answer.carry_on()
+    answer = jobs.AnswerAssembly()
+    attempt = answer.start_continuation()
     answer.accept(attempt, 0, 'a')
     answer.accept(attempt, 1, 'b')
     assert answer.resume_after() == 1
@@ -118,20 +118,20 @@
 
 
 def test_running_jobs_are_never_dropped_from_the_book():
-    book = jobs.JobBook()
-    book.open(jobs.JobRecord('long', 't', 'lm', 0.0, upstream='lm-1'))
+    book = jobs.JobHistory()
+    book.add(jobs.JobRecord('long', 't', 'lm', 0.0, upstream='lm-1'))
     for number in range(3000):
         name = f'job-{number}'
-        book.open(jobs.JobRecord(name, 't', 'lm', 0.0))
+        book.add(jobs.JobRecord(name, 't', 'lm', 0.0))
         book.end(name, 'done', '', 1.0)
-    assert book.on_upstream('lm-1') == 1
+    assert book.count_on_upstream('lm-1') == 1
     assert book.get('job-0') is None
     assert book.get('job-2999').state == 'done'
 
 
 def _ring(name, wall, size=10):
     clock = timeline.HybridClock(lambda: wall[0])
-    return clock, timeline.Ring(name, clock, size)
+    return clock, timeline.EventBuffer(name, clock, size)
 
 
 def test_events_stand_in_causal_order_although_a_clock_is_behind():
@@ -139,13 +139,13 @@
     first_clock, first = _ring('a', ahead)
     second_clock, second = _ring('b', behind)
     cause = first.add('job.placed', 'j')
-    second_clock.meet(cause.stamp)
+    second_clock.update(cause.timestamp)
     second.add('job.seen', 'j')
     kinds = [
         e.kind for e in timeline.merge([second.latest(9), first.latest(9)])
     ]
     assert kinds == ['job.placed', 'job.seen']
-    assert first_clock.now() > cause.stamp
+    assert first_clock.now() > cause.timestamp
 
 
 def test_gaps_are_marked():
--- a/dandelionwinch/tests/test_orders.py
+++ b/dandelionwinch/tests/test_orders.py
@@ -22,8 +22,8 @@
 class _Instance:
     """One instance that may hold the shard."""
 
-    authority: orders.Authority
-    conductor: orders.Conductor
+    authority: orders.ShardLease
+    conductor: orders.OrderExecutor
     departures: membership.Departures
 
 
@@ -77,13 +77,13 @@
         order_id = self.engine.order[0] if self.engine.order else ''
         away = self.now < self.engine.away_until
         jobs = self.status if isinstance(self.status, int) else 0
-        return orders.Status(order_id, away, jobs, self.engine.epoch)
+        return orders.UpstreamStatus(order_id, away, jobs, self.engine.epoch)
 
     def _hold(self):
         report = orders.DrainReport(
             'c', self.jobs, self.now - self.held_ago_s, 10.0
         )
-        return orders.Hold(('c',), {'c': report} if self.confirms else {})
+        return orders.HoldState(('c',), {'c': report} if self.confirms else {})
 
     def send(self, order):
         """Delivers an order to the upstream."""
@@ -98,7 +98,7 @@
     def acquire(self, name):
         """Lets an instance try to take the shard."""
         instance = self.instances[name]
-        instance.departures.listed(self.listed)
+        instance.departures.list_read(self.listed)
         fenced = self.engine.cfg.checks_fencing
         return self.run(
             instance.authority.acquire(fenced, instance.departures.is_gone)
@@ -121,8 +121,8 @@
 
 
 def _instance(name):
-    authority = orders.Authority(SHARD, name, 1, TIMING)
-    conductor = orders.Conductor(authority, TIMING.gone_margin_s)
+    authority = orders.ShardLease(SHARD, name, 1, TIMING)
+    conductor = orders.OrderExecutor(authority, TIMING.gone_margin_s)
     departures = membership.Departures(TIMING.gone_margin_s)
     return _Instance(authority, conductor, departures)
 
@@ -148,7 +148,7 @@
 )
 def _written(stage, name, role):
     assert isinstance(stage.acquire(name), orders.Owned)
-    progress = stage.step(name, orders.Wish(role, 1, f'order-{role}'))
+    progress = stage.step(name, orders.DesiredRole(role, 1, f'order-{role}'))
     assert progress.event == 'order.written'
 
 
@@ -186,7 +186,7 @@
     parsers.parse('instance "{name}" orders "{role}" and carries it out')
 )
 def _orders(stage, name, role):
-    stage.carry_out(name, orders.Wish(role, 2, f'order-{role}'))
+    stage.carry_out(name, orders.DesiredRole(role, 2, f'order-{role}'))
 
 
 @pytest_bdd.when('instance "a" wakes up and sends')
--- a/dandelionwinch/tests/test_streams.py
+++ b/dandelionwinch/tests/test_streams.py
@@ -120,7 +120,7 @@
 
 def test_no_engine_with_room_is_answered_at_once():
     async def scenario(harness):
-        harness.gateway.fleet.beliefs.remove('u0', 0.0)
+        harness.gateway.fleet.registry.remove('u0', 0.0)
         harness.generate('/resume/1')
         return await harness.read_response()
 
@@ -154,7 +154,7 @@
 
 def make_prefill_engine(harness):
     """Makes the first upstream a prefill engine."""
-    registry = harness.gateway.fleet.beliefs
+    registry = harness.gateway.fleet.registry
     entry = registry.get('u0').entry
     registry.apply(attrs.evolve(entry, role=upstreams.Role.PREFILL))
 
@@ -174,7 +174,7 @@
 
 
 def test_a_prompt_is_prefilled_at_one_engine_and_answered_at_another():
-    handle = samples.handle('h1')
+    handle = samples.prefill_body('h1')
     prefill = [[gateway_harness.response(handle)]]
     decode = [ONE_EVENT]
 
@@ -192,7 +192,7 @@
 
 
 def test_an_engine_that_leaves_during_a_prefill_gets_nothing():
-    handle = samples.handle('h1')
+    handle = samples.prefill_body('h1')
     decode = [ONE_EVENT]
     scripts = [
         [[scripted.HOLD, gateway_harness.response(handle)]],
@@ -201,7 +201,7 @@
     ]
 
     async def scenario(harness):
-        registry = harness.gateway.fleet.beliefs
+        registry = harness.gateway.fleet.registry
         make_prefill_engine(harness)
         registry.remove('u2', 0.0)
         number = 0
@@ -236,7 +236,7 @@
 
 
 def test_a_prompt_whose_handle_is_gone_is_prefilled_by_the_decode_engine():
-    prefill = [[gateway_harness.response(samples.handle('h1'))]]
+    prefill = [[gateway_harness.response(samples.prefill_body('h1'))]]
 
     async def scenario(harness):
         make_prefill_engine(harness)
