--- a/dandelionwinch/control/_registered.py
+++ b/dandelionwinch/control/_registered.py
@@ -23,8 +23,8 @@
     __slots__ = (
         '_began_at',
         '_capacity',
-        '_stored_capacity',
         '_seen_at',
+        '_stored_capacity',
         'entries',
     )
 
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -33,8 +33,8 @@
     except (ValueError, TypeError) as exc:
         raise _store.EntryInvalid(f"an instance's entry: {exc}") from exc
     for name, value in data.items():
-        kind = (int, float) if name == 'capacity' else str
-        if isinstance(value, bool) or not isinstance(value, kind):
+        type_ = (int, float) if name == 'capacity' else str
+        if isinstance(value, bool) or not isinstance(value, type_):
             raise _store.EntryInvalid(f'field "{name}" is {value!r}')
     if not entry.capacity > 0:
         raise _store.EntryInvalid(f'capacity is {entry.capacity!r}')
