--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -15,7 +15,7 @@
 from dandelionwinch import catalog
 from dandelionwinch.daemon import _beats
 from dandelionwinch.daemon import _claims
-from dandelionwinch.daemon import _deciders
+from dandelionwinch.daemon import _placement_router
 from dandelionwinch.daemon import _earnings
 from dandelionwinch.daemon import _loads
 from dandelionwinch.daemon import _metrics
@@ -78,7 +78,7 @@
         )
         self.metrics = _metrics.Metrics()
         self.scheduler = _work.Scheduler(self)
-        self.deciders = _deciders.Deciders(self)
+        self.placement_router = _placement_router.PlacementRouter(self)
         self.beats = _beats.Beats(self)
         self.settings = _settings.SettingsTask(self)
         self.loads = _loads.Loads(self)
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -172,7 +172,7 @@
 
     async def Place(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        await stream.send_message(self._core.deciders.answer(request))
+        await stream.send_message(self._core.placement_router.handle(request))
 
     async def Events(self, stream):  # noqa: N802
         request = await self._receive(stream)
--- a/dandelionwinch/daemon/_deciders.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -4,13 +4,13 @@
 from dandelionwinch.peers import peer_pb2
 from dandelionwinch import placement
 
-ASK_TIMEOUT_S = 0.25
+PLACE_TIMEOUT_S = 0.25
 # How long a decider that did not answer is left alone.
-REST_S = 2.0
+OWNER_BACKOFF_S = 2.0
 MAX_EXCLUDED = 32
 
 
-class Deciders:
+class PlacementRouter:
     """Places jobs here or at the usual decider.
 
     The decider knows all that was sent to the upstreams near it. It is
@@ -19,30 +19,32 @@
 
     def __init__(self, core):
         self._core = core
-        self._resting_until = {}
+        self._backoff_until = {}
 
     async def choose(self, query):
         """Returns the placement.Choice or Refusal for a job."""
         core = self._core
-        decider = self._decider(query.model)
-        if decider is None:
+        owner = self._remote_owner(query.model)
+        if owner is None:
             return core.scheduler.choose(query)
         reply = await core.peers.call(
-            decider.member.peer_address,
+            owner.member.peer_address,
             'Place',
             self._request(query),
-            ASK_TIMEOUT_S,
+            PLACE_TIMEOUT_S,
         )
         if reply is None:
-            self._resting_until[decider.name] = core.now() + REST_S
-            core.event('decider.silent', decider.name)
+            self._backoff_until[owner.name] = core.now() + OWNER_BACKOFF_S
+            core.event('decider.silent', owner.name)
             return core.scheduler.choose(query)
         choice = _wire.load_choice(reply)
-        if isinstance(choice, placement.Refusal) or self._knows(choice):
+        if isinstance(choice, placement.Refusal) or self._is_configured(
+            choice
+        ):
             return choice
         return core.scheduler.choose(query)
 
-    def _decider(self, model):
+    def _remote_owner(self, model):
         """Returns the decider, None if that is this instance."""
         core = self._core
         now = core.now()
@@ -54,7 +56,7 @@
         if not near:
             return None
         name = placement.usual_decider(near, core.data_centre, model)
-        if name == core.name or self._resting_until.get(name, now) > now:
+        if name == core.name or self._backoff_until.get(name, now) > now:
             return None
         return near[name]
 
@@ -71,7 +73,7 @@
             exclude=excluded[:MAX_EXCLUDED],
         )
 
-    def _knows(self, choice):
+    def _is_configured(self, choice):
         names = {choice.prefill, choice.decode} - {''}
         catalog = self._core.catalog
         return all(catalog.get('upstream', name) for name in names)
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -84,7 +84,7 @@
             job.prefix,
             message.exclude,
         )
-        choice = await core.deciders.choose(query)
+        choice = await core.placement_router.choose(query)
         now = core.now()
         if isinstance(choice, placement.Refusal):
             pools = core.catalog.pools_of_model(job.model)
