--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -13,7 +13,7 @@
 from dandelionwinch.adapters import upstream as upstream_adapter
 from dandelionwinch import addresses
 from dandelionwinch import catalog
-from dandelionwinch.daemon import _beats
+from dandelionwinch.daemon import _heartbeats
 from dandelionwinch.daemon import _claims
 from dandelionwinch.daemon import _placement_router
 from dandelionwinch.daemon import _earnings
@@ -79,7 +79,7 @@
         self.metrics = _metrics.Metrics()
         self.scheduler = _work.Scheduler(self)
         self.placement_router = _placement_router.PlacementRouter(self)
-        self.beats = _beats.Beats(self)
+        self.heartbeats = _heartbeats.Heartbeats(self)
         self.settings = _settings.SettingsTask(self)
         self.loads = _loads.Loads(self)
         self.shards = _shards.Shards(self)
@@ -129,7 +129,7 @@
         await self.peers.start()
         await self.settings.load_first()
         for task in (
-            self.beats,
+            self.heartbeats,
             self.settings,
             self.loads,
             self.shards,
@@ -290,7 +290,7 @@
     async def _leave(self):
         self.members.leave()
         self.event('instance.leaving', self.name)
-        await self.beats.announce()
+        await self.heartbeats.announce()
 
     def drain(self):
         """Serves on until no client is sent here and all jobs ended."""
--- a/dandelionwinch/daemon/_beats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -5,28 +5,28 @@
 from dandelionwinch.daemon import _periodic
 from dandelionwinch import timeline
 
-LOADS_ACROSS_DATA_CENTRES = 64
-RATES_LIFE_S = 10.0
+MAX_LOADS_ACROSS_DATA_CENTRES = 64
+RATE_MAX_AGE_S = 10.0
 
 
-class Beats:
+class Heartbeats:
     """Exchanges digests with peers and reads the platform's list."""
 
     def __init__(self, core):
         self._core = core
-        self._unknown = {}
+        self._unknown_ids = {}
         self.demands = {}
-        self._sent = {}
+        self._sent_rates = {}
 
     def runs(self):
         """Returns the coroutines of this task."""
         timing = self._core.cfg.timing
         rng = self._core.rng
-        yield _periodic.every(timing.beat_s, self._beat, rng)
+        yield _periodic.every(timing.beat_s, self._send_heartbeats, rng)
         period_s = self._core.cfg.live_list.poll_s
-        yield _periodic.every(period_s, self._read_list, rng)
+        yield _periodic.every(period_s, self._read_live_list, rng)
 
-    async def _read_list(self):
+    async def _read_live_list(self):
         core = self._core
         listed = await core.call(core.live_list.fetch)
         if listed is None:
@@ -35,7 +35,7 @@
         core.members.overlay(listed)
         core.departures.listed(line.name for line in listed)
 
-    async def _beat(self):
+    async def _send_heartbeats(self):
         core = self._core
         now = core.now()
         for known in core.members.everyone():
@@ -64,15 +64,15 @@
         asked_at = core.now()
         data_centre = core.members.data_centre_at(address)
         reply = await core.peers.beat(
-            address, self.digest(address, data_centre)
+            address, self.build_digest(address, data_centre)
         )
         if reply is None:
             return
-        await self.take(address, reply)
+        await self.receive(address, reply)
         if reply.revision <= core.documents.revision:
             core.freshness.heard(reply.sender.data_centre, asked_at, reply)
 
-    def digest(self, peer, data_centre):
+    def build_digest(self, peer, data_centre):
         """Makes the digest for a peer.
 
         Args:
@@ -83,12 +83,14 @@
         core = self._core
         now = core.now()
         digest = core.members.digest(now, data_centre)
-        digest.asked.extend(self._unknown.pop(peer, ()))
+        digest.asked.extend(self._unknown_ids.pop(peer, ()))
         digest.revision = core.documents.revision
         core.freshness.tell(digest, now)
-        near = data_centre in (None, core.data_centre)
+        is_near = data_centre in (None, core.data_centre)
         digest.loads.extend(
-            core.loads.known(now, None if near else LOADS_ACROSS_DATA_CENTRES)
+            core.loads.known(
+                now, None if is_near else MAX_LOADS_ACROSS_DATA_CENTRES
+            )
         )
         for team, rate in core.scheduler.admission.uses(now).items():
             digest.uses.add(team=team, jobs_per_s=rate)
@@ -107,7 +109,7 @@
         digest.logical = timestamp.logical
         return digest
 
-    async def take(self, peer, digest):
+    async def receive(self, peer, digest):
         """Takes in a digest, fetching settings if it has newer ones."""
         core = self._core
         now = core.now()
@@ -115,16 +117,16 @@
         core.hybrid_clock.update(timestamp)
         before = {k.name for k in core.members.live(now)}
         unknown = core.members.merge(digest, now)
-        self._unknown[peer] = unknown
+        self._unknown_ids[peer] = unknown
         after = {k.name for k in core.members.live(now)}
         for name in sorted(after - before):
             core.event('instance.seen', name)
         core.loads.merge(digest.loads, now)
         uses = {item.team: item.jobs_per_s for item in digest.uses}
         core.scheduler.admission.peer_uses(digest.sender.name, uses, now)
-        self.demands[digest.sender.name] = (now, _rates_of(digest))
+        self.demands[digest.sender.name] = (now, _demand_rates(digest))
         sent = {item.pool: item.sent for item in digest.demands}
-        self._sent[digest.sender.name] = (now, sent)
+        self._sent_rates[digest.sender.name] = (now, sent)
         if digest.revision > core.documents.revision:
             address = digest.sender.peer_address
             await core.settings.fetch_from(address)
@@ -132,21 +134,21 @@
     def peer_rates(self, now):
         """Returns what peers sent of late, in tokens per second by pool."""
         total = {}
-        for at, sent in self._sent.values():
-            if now - at < RATES_LIFE_S:
+        for at, sent in self._sent_rates.values():
+            if now - at < RATE_MAX_AGE_S:
                 for pool, rate in sent.items():
                     total[pool] = total.get(pool, 0.0) + rate
         return total
 
     async def answer(self, digest):
         """Answers a peer's digest with the own one."""
-        await self.take(digest.sender.peer_address, digest)
-        return self.digest(
+        await self.receive(digest.sender.peer_address, digest)
+        return self.build_digest(
             digest.sender.peer_address, digest.sender.data_centre
         )
 
 
-def _rates_of(digest):
+def _demand_rates(digest):
     return {
         item.pool: [
             (item.short_prefill, item.short_decode),
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -152,7 +152,7 @@
 
     async def Beat(self, stream):  # noqa: N802
         digest = await self._receive(stream)
-        await stream.send_message(await self._core.beats.answer(digest))
+        await stream.send_message(await self._core.heartbeats.handle(digest))
 
     async def Documents(self, stream):  # noqa: N802
         request = await self._receive(stream)
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -82,7 +82,7 @@
             self._store_revision = fetched.store_revision
             core.freshness.store_read(asked_at)
             if self.adopt(fetched.revision, fetched.documents, 'store'):
-                await core.beats.announce()
+                await core.heartbeats.announce()
             elif core.documents.revision == 0 and core.cfg.catalog_file:
                 await self._seed()
         return fetched
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -248,7 +248,7 @@
     def _rates(self, pool, now):
         own = self._core.scheduler.demands(now).get(pool.name)
         found = [own] if own else []
-        for at, demands in self._core.beats.demands.values():
+        for at, demands in self._core.heartbeats.demands.values():
             if now - at < DEMAND_LIFE_S and pool.name in demands:
                 found.append(demands[pool.name])
         return [
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -118,7 +118,7 @@
             gap_s=model.token_gap_s,
             exclude=query.exclude,
         )
-        self.placer.set_peer_rates(core.beats.peer_rates(now))
+        self.placer.set_peer_rates(core.heartbeats.peer_rates(now))
         pools = core.catalog.pools_of_model(query.model)
         return self.placer.place(demand, self._sites(pools, query), now)
 
