--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -17,7 +17,7 @@
 from dandelionwinch.daemon import _claims
 from dandelionwinch.daemon import _placement_router
 from dandelionwinch.daemon import _earnings
-from dandelionwinch.daemon import _loads
+from dandelionwinch.daemon import _load_reports
 from dandelionwinch.daemon import _metrics
 from dandelionwinch.daemon import _operators
 from dandelionwinch.daemon import _peers
@@ -81,7 +81,7 @@
         self.placement_router = _placement_router.PlacementRouter(self)
         self.heartbeats = _heartbeats.Heartbeats(self)
         self.settings = _settings.SettingsTask(self)
-        self.loads = _loads.Loads(self)
+        self.load_reports = _load_reports.LoadReports(self)
         self.shards = _shards.Shards(self)
         self.claims = _claims.Claims(self)
         self.earnings = _earnings.Earnings(self)
@@ -131,7 +131,7 @@
         for task in (
             self.heartbeats,
             self.settings,
-            self.loads,
+            self.load_reports,
             self.shards,
             self.claims,
             self.earnings,
--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -88,7 +88,7 @@
         core.freshness.tell(digest, now)
         is_near = data_centre in (None, core.data_centre)
         digest.loads.extend(
-            core.loads.known(
+            core.load_reports.recent(
                 now, None if is_near else MAX_LOADS_ACROSS_DATA_CENTRES
             )
         )
@@ -121,7 +121,7 @@
         after = {k.name for k in core.members.live(now)}
         for name in sorted(after - before):
             core.event('instance.seen', name)
-        core.loads.merge(digest.loads, now)
+        core.load_reports.merge(digest.loads, now)
         uses = {item.team: item.jobs_per_s for item in digest.uses}
         core.scheduler.admission.peer_uses(digest.sender.name, uses, now)
         self.demands[digest.sender.name] = (now, _demand_rates(digest))
@@ -140,7 +140,7 @@
                     total[pool] = total.get(pool, 0.0) + rate
         return total
 
-    async def answer(self, digest):
+    async def handle(self, digest):
         """Answers a peer's digest with the own one."""
         await self.receive(digest.sender.peer_address, digest)
         return self.build_digest(
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -10,13 +10,13 @@
 from dandelionwinch import settings
 from dandelionwinch import utils
 
-REPORT_LIFE_S = 5.0
-FIRST_REST_S = 0.5
-LONGEST_REST_S = 15.0
+REPORT_MAX_AGE_S = 5.0
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 15.0
 
 
 @attrs.define
-class _Seen:
+class _StoredReport:
     """The newest report of an upstream, as it came from whoever polled."""
 
     made_at: float
@@ -24,12 +24,12 @@
 
 
 @attrs.define
-class _Rest:
+class _Backoff:
     until: float = 0.0
     failures: int = 0
 
 
-class Loads:
+class LoadReports:
     """Polls some upstreams and learns of the others from peers.
 
     Each upstream is polled by one instance of its data centre, chosen by
@@ -38,9 +38,9 @@
 
     def __init__(self, core):
         self._core = core
-        self._seen = {}
+        self._reports = {}
         self._holds = {}
-        self._rests = {}
+        self._backoffs = {}
 
     def runs(self):
         """Returns the coroutines of this task."""
@@ -50,25 +50,25 @@
     async def _poll_all(self):
         core = self._core
         now = core.now()
-        self._end_holds(now)
-        mine = [
+        self._expire_holds(now)
+        own = [
             upstream
             for upstream in core.catalog.all('upstream')
             if upstream.role is not settings.Role.SERVICE
             and upstream.state is not settings.UpstreamState.RETIRED
             and self._poller_of(upstream, now) == core.name
         ]
-        await asyncio.gather(*(self.poll(upstream) for upstream in mine))
+        await asyncio.gather(*(self.poll(upstream) for upstream in own))
 
     def _poller_of(self, upstream, now):
         core = self._core
         data_centre = core.catalog.data_centre_of(upstream)
         live = core.members.live(now)
-        near = [k for k in live if k.data_centre == data_centre] or live
-        if not near:
+        nearby = [k for k in live if k.data_centre == data_centre] or live
+        if not nearby:
             return core.name
         best = max(
-            near, key=lambda k: utils.stable_hash(upstream.name, k.name)
+            nearby, key=lambda k: utils.stable_hash(upstream.name, k.name)
         )
         return best.name
 
@@ -93,21 +93,21 @@
             message.away = load.away
             message.order_id = load.order_id
             message.epoch = load.epoch
-        self._take(message, asked_at)
+        self._record(message, asked_at)
         return load
 
     def merge(self, messages, now):
         """Takes in reports that a peer passed on."""
         for message in messages:
-            self._take(message, now - message.age_s)
+            self._record(message, now - message.age_s)
 
-    def _take(self, message, made_at):
-        held = self._seen.get(message.upstream)
+    def _record(self, message, made_at):
+        held = self._reports.get(message.upstream)
         if held is not None and made_at <= held.made_at + 0.001:
             return
         if self._core.catalog.get('upstream', message.upstream) is None:
             return
-        self._seen[message.upstream] = _Seen(made_at, message)
+        self._reports[message.upstream] = _StoredReport(made_at, message)
         estimates = self._core.scheduler.estimates
         if message.failed:
             estimates.failed(message.upstream, self._core.now())
@@ -126,22 +126,22 @@
             ),
         )
 
-    def known(self, now, limit=None):
+    def recent(self, now, limit=None):
         """Returns recent reports with their ages, for a digest."""
         fresh = [
-            seen
-            for seen in self._seen.values()
-            if now - seen.made_at <= REPORT_LIFE_S
+            report
+            for report in self._reports.values()
+            if now - report.made_at <= REPORT_MAX_AGE_S
         ]
         if limit is not None and len(fresh) > limit:
             fresh = self._core.rng.sample(fresh, limit)
-        for seen in fresh:
-            seen.message.age_s = now - seen.made_at
-            yield seen.message
+        for report in fresh:
+            report.message.age_s = now - report.made_at
+            yield report.message
 
     def latest(self, upstream):
         """Returns the newest report of an upstream and its time, or None."""
-        return self._seen.get(upstream)
+        return self._reports.get(upstream)
 
     def hold(self, request):
         """Places nothing new on an upstream for a time."""
@@ -166,26 +166,26 @@
         if estimate is not None:
             estimate.held = self.is_held(upstream)
 
-    def _end_holds(self, now):
-        over = [key for key, until in self._holds.items() if until < now]
-        for key in over:
+    def _expire_holds(self, now):
+        expired = [key for key, until in self._holds.items() if until < now]
+        for key in expired:
             del self._holds[key]
             self._mark_held(key[0])
             self._core.event('upstream.hold_ended', key[0], key[1])
 
-    def rest(self, upstream, now):
+    def back_off(self, upstream, now):
         """Leaves a service's upstream alone for a while."""
-        rest = self._rests.setdefault(upstream, _Rest())
-        wait_s = min(LONGEST_REST_S, FIRST_REST_S * 2**rest.failures)
-        rest.failures = min(rest.failures + 1, 10)
-        rest.until = now + wait_s
+        backoff = self._backoffs.setdefault(upstream, _Backoff())
+        wait_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**backoff.failures)
+        backoff.failures = min(backoff.failures + 1, 10)
+        backoff.until = now + wait_s
 
-    def rested(self, upstream):
+    def reset_backoff(self, upstream):
         """Notes that a service's upstream answered well."""
-        self._rests.pop(upstream, None)
+        self._backoffs.pop(upstream, None)
 
-    def is_resting(self, upstream, now):
+    def is_unavailable(self, upstream, now):
         """Tells whether an upstream takes no new work at present."""
-        rest = self._rests.get(upstream)
-        resting = rest is not None and now < rest.until
-        return resting or self.is_held(upstream)
+        backoff = self._backoffs.get(upstream)
+        backing_off = backoff is not None and now < backoff.until
+        return backing_off or self.is_held(upstream)
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -160,7 +160,7 @@
 
     async def Hold(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        await stream.send_message(self._core.loads.hold(request))
+        await stream.send_message(self._core.load_reports.hold(request))
 
     async def Claim(self, stream):  # noqa: N802
         request = await self._receive(stream)
--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -78,7 +78,7 @@
         catalog = self._core.catalog
         return all(catalog.get('upstream', name) for name in names)
 
-    def answer(self, request):
+    def handle(self, request):
         """Answers a peer that asks where a job runs."""
         query = placement.Query(
             request.model,
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -152,7 +152,7 @@
         async def handle(request):
             match request:
                 case orders.PollUpstream():
-                    return _status_of(await core.loads.poll(upstream))
+                    return _status_of(await core.load_reports.poll(upstream))
                 case orders.HoldUpstream(order_id=order_id):
                     return await self._hold(upstream.name, order_id)
                 case orders.ReleaseHold(order_id=order_id):
@@ -171,10 +171,10 @@
             return None
         if last is not None and last.source >= source:
             return None
-        seen = core.loads.latest(upstream.name)
-        if seen is None or seen.message.failed or not seen.message.role:
+        report = core.load_reports.latest(upstream.name)
+        if report is None or report.message.failed or not report.message.role:
             return None
-        if seen.message.role == upstream.role:
+        if report.message.role == upstream.role:
             return None
         return self._wish(shard, upstream, upstream.role)
 
@@ -189,7 +189,7 @@
         request = peer_pb2.HoldRequest(
             upstream=upstream_name, order_id=order_id, ttl_s=HOLD_TTL_S
         )
-        own = core.loads.hold(request)
+        own = core.load_reports.hold(request)
         replies = await core.peers.all('Hold', request)
         replies[core.name] = own
         reports = {
@@ -221,7 +221,7 @@
         request = peer_pb2.HoldRequest(
             upstream=upstream_name, order_id=order_id, release=True
         )
-        self._core.loads.hold(request)
+        self._core.load_reports.hold(request)
         await self._core.peers.all('Hold', request)
 
     async def _plan(self, authority, pool, upstreams):
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -53,8 +53,8 @@
 
 
 def _upstream_row(core, upstream, now):
-    seen = core.loads.latest(upstream.name)
-    load = seen.message if seen is not None else None
+    report = core.load_reports.latest(upstream.name)
+    load = report.message if report is not None else None
     estimate = core.scheduler.estimates.get(upstream.name)
     return {
         'name': upstream.name,
@@ -67,7 +67,7 @@
         'running': load.running if load else 0,
         'waiting': load.waiting if load else 0,
         'kv_tokens': load.kv_tokens if load else 0,
-        'age_s': round(now - seen.made_at, 2) if seen else None,
+        'age_s': round(now - report.made_at, 2) if report else None,
         'checks_fencing': upstream.checks_fencing,
         'frozen': core.shards.frozen_reason(upstream.name),
         'epoch': load.epoch if load else 0,
@@ -77,11 +77,11 @@
 
 
 def _health(core, upstream, load, estimate, now):
-    if core.loads.is_held(upstream.name):
+    if core.load_reports.is_held(upstream.name):
         return 'held'
     if upstream.role is settings.Role.SERVICE:
-        resting = core.loads.is_resting(upstream.name, now)
-        return 'resting' if resting else 'ok'
+        backing_off = core.load_reports.is_unavailable(upstream.name, now)
+        return 'resting' if backing_off else 'ok'
     if load is None:
         return 'unknown'
     if load.failed:
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_work.py
@@ -203,14 +203,20 @@
             for upstream in core.catalog.upstreams_of(pool.name):
                 if upstream.state is not settings.UpstreamState.ACTIVE:
                     continue
-                if core.loads.is_held(upstream.name):
+                if core.load_reports.is_held(upstream.name):
                     continue
                 # One that failed of late is a last resort, not ruled out.
-                resting = core.loads.is_resting(upstream.name, now)
+                unavailable = core.load_reports.is_unavailable(
+                    upstream.name, now
+                )
                 spread = zlib.crc32(
                     f'{message.job_id}{upstream.name}'.encode()
                 )
-                rank = (resting, pool.data_centre != core.data_centre, spread)
+                rank = (
+                    unavailable,
+                    pool.data_centre != core.data_centre,
+                    spread,
+                )
                 found.append((rank, upstream))
         if not found:
             raise errors.NoUpstream(
@@ -230,7 +236,7 @@
         core = self._core
         now = core.now()
         self.estimates.failed(message.upstream, now)
-        core.loads.rest(message.upstream, now)
+        core.load_reports.back_off(message.upstream, now)
         record = self.book.get(message.job_id)
         if record is not None:
             record.terms.append(
@@ -272,7 +278,7 @@
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
             self._budget(record.target).succeeded()
-            core.loads.rested(record.upstream)
+            core.load_reports.reset_backoff(record.upstream)
             core.metrics.tokens.inc(message.tokens)
             core.earnings.book(record, message.tokens)
         core.event(f'job.{message.state}', record.id, message.code)
