--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -23,7 +23,7 @@
 from dandelionwinch.daemon import _peers
 from dandelionwinch.daemon import _settings
 from dandelionwinch.daemon import _shards
-from dandelionwinch.daemon import _work
+from dandelionwinch.daemon import _scheduler
 from dandelionwinch.daemon import messages
 from dandelionwinch import effects
 from dandelionwinch import errors
@@ -77,7 +77,7 @@
             cfg.instance.name, self.hybrid_clock, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
-        self.scheduler = _work.Scheduler(self)
+        self.scheduler = _scheduler.Scheduler(self)
         self.placement_router = _placement_router.PlacementRouter(self)
         self.heartbeats = _heartbeats.Heartbeats(self)
         self.settings = _settings.SettingsTask(self)
@@ -298,10 +298,10 @@
         grace_s = timing.answer_valid_s + 2 * timing.beat_s
         time.sleep(grace_s)
         limit = time.monotonic() + timing.drain_limit_s
-        while self.scheduler.jobs() and time.monotonic() < limit:
+        while self.scheduler.running_jobs() and time.monotonic() < limit:
             time.sleep(STOP_STEP_S)
         self.accepting = False
-        while self.scheduler.jobs() and time.monotonic() < limit:
+        while self.scheduler.running_jobs() and time.monotonic() < limit:
             time.sleep(STOP_STEP_S)
 
     def close(self):
--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -41,7 +41,7 @@
         for known in core.members.everyone():
             core.departures.restarted(known.name, known.member.incarnation)
         addresses = core.members.tick(now)
-        core.members.me.jobs = core.scheduler.jobs()
+        core.members.me.jobs = core.scheduler.running_jobs()
         core.members.me.revision = core.documents.revision
         core.metrics.members.set(len(core.members.live(now)))
         core.metrics.ready.set(0 if core.unready_reason() else 1)
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -9,10 +9,10 @@
 from dandelionwinch import placement
 from dandelionwinch import settings
 
-DEFAULT_PATIENCE_S = 5.0
-PROMPT_TOKEN_BYTES = 6
-OUTPUT_TOKEN_BYTES = 200
-GIGABYTE = 1e9
+MAX_WAIT_S = 5.0
+BYTES_PER_PROMPT_TOKEN = 6
+BYTES_PER_OUTPUT_TOKEN = 200
+BYTES_PER_GIGABYTE = 1e9
 
 
 class Scheduler:
@@ -24,18 +24,18 @@
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
         self.estimates = placement.Beliefs()
         self.placer = placement.Placer(self.estimates, core.rng)
-        self._budgets = {}
+        self._retry_budgets = {}
         self.trends = {}
         self._demands = {}
 
-    def jobs(self):
+    def running_jobs(self):
         """Returns the number of jobs being served."""
         return self.admission.jobs
 
-    def adopt(self, catalog):
+    def update_upstreams(self, catalog):
         """Takes over the upstreams of a new configuration."""
         self.estimates.set_upstreams(
-            _belief(upstream, catalog.data_centre_of(upstream))
+            _load_estimate(upstream, catalog.data_centre_of(upstream))
             for upstream in catalog.all('upstream')
             if upstream.role is not settings.Role.SERVICE
         )
@@ -50,7 +50,7 @@
         team = self._team(message.team)
         self.admission.admit(
             team,
-            self._busy_weight(team),
+            self._active_weight(team),
             len(core.members.usable(now)),
             now,
         )
@@ -66,7 +66,7 @@
             name='default'
         )
 
-    def _busy_weight(self, team):
+    def _active_weight(self, team):
         names = set(self.admission.busy_teams()) | {team.name}
         return sum(self._team(name).weight for name in names)
 
@@ -88,12 +88,12 @@
         now = core.now()
         if isinstance(choice, placement.Refusal):
             pools = core.catalog.pools_of_model(job.model)
-            self._add_demand(pools, job, now)
+            self._record_refused_demand(pools, job, now)
             raise errors.NoUpstream(
                 choice.reason, retry_after_s=choice.retry_after_s
             )
-        self._note(message, choice, now)
-        return self._placed(choice, model)
+        self._record_placement(message, choice, now)
+        return self._placement_reply(choice, model)
 
     def choose(self, query):
         """Decides here where a job of this data centre runs.
@@ -114,15 +114,17 @@
             output_tokens=query.output_tokens,
             prefix=query.prefix,
             prefix_tokens=query.prompt_tokens,
-            patience_s=DEFAULT_PATIENCE_S,
+            patience_s=MAX_WAIT_S,
             gap_s=model.token_gap_s,
             exclude=query.exclude,
         )
         self.placer.set_peer_rates(core.heartbeats.peer_rates(now))
         pools = core.catalog.pools_of_model(query.model)
-        return self.placer.place(demand, self._sites(pools, query), now)
+        return self.placer.place(
+            demand, self._candidate_pools(pools, query), now
+        )
 
-    def _sites(self, pools, query):
+    def _candidate_pools(self, pools, query):
         catalog = self._core.catalog
         here = self._core.data_centre
         region = catalog.region_of(here)
@@ -133,7 +135,7 @@
             if pool.data_centre != here:
                 extra_s = link.latency_s
             if catalog.region_of(pool.data_centre) != region:
-                extra_s += 2 * link.latency_s + _link_s(link, query)
+                extra_s += 2 * link.latency_s + _transfer_cost_s(link, query)
             names = tuple(
                 upstream.name
                 for upstream in catalog.upstreams_of(pool.name)
@@ -143,7 +145,7 @@
         sites.sort(key=lambda site: (site.extra_s, site.name))
         return sites
 
-    def _note(self, message, choice, now):
+    def _record_placement(self, message, choice, now):
         record = self.book.get(message.job_id)
         job = message.job
         if record is not None:
@@ -167,15 +169,15 @@
             trend = self.trends[pool.name] = placement.Trend(horizon_s / 2)
         return trend
 
-    def _add_demand(self, pools, job, now):
+    def _record_refused_demand(self, pools, job, now):
         """Counts a refused job where it would have run."""
-        near = [
+        nearby = [
             p for p in pools if p.data_centre == self._core.data_centre
         ] or pools
-        if near:
-            self._trend(near[0]).add(job.prompt_tokens, job.max_tokens, now)
+        if nearby:
+            self._trend(nearby[0]).add(job.prompt_tokens, job.max_tokens, now)
 
-    def _placed(self, choice, model):
+    def _placement_reply(self, choice, model):
         catalog = self._core.catalog
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
@@ -198,7 +200,7 @@
                 f'service "{message.service}" does not exist'
             )
         now = core.now()
-        found = []
+        ranked = []
         for pool in core.catalog.pools_of_service(service.name):
             for upstream in core.catalog.upstreams_of(pool.name):
                 if upstream.state is not settings.UpstreamState.ACTIVE:
@@ -209,22 +211,22 @@
                 unavailable = core.load_reports.is_unavailable(
                     upstream.name, now
                 )
-                spread = zlib.crc32(
+                tie_breaker = zlib.crc32(
                     f'{message.job_id}{upstream.name}'.encode()
                 )
                 rank = (
                     unavailable,
                     pool.data_centre != core.data_centre,
-                    spread,
+                    tie_breaker,
                 )
-                found.append((rank, upstream))
-        if not found:
+                ranked.append((rank, upstream))
+        if not ranked:
             raise errors.NoUpstream(
                 f'no upstream of service "{service.name}" takes work',
                 retry_after_s=1.0,
             )
-        found.sort(key=lambda pair: pair[0])
-        upstreams = tuple(upstream for _rank, upstream in found)
+        ranked.sort(key=lambda pair: pair[0])
+        upstreams = tuple(upstream for _rank, upstream in ranked)
         record = self.book.get(message.job_id)
         if record is not None:
             record.upstream = upstreams[0].name
@@ -244,16 +246,16 @@
             )
         core.event('upstream.failed', message.upstream, message.reason)
 
-    def _budget(self, target):
-        budget = self._budgets.get(target)
+    def _retry_budget(self, target):
+        budget = self._retry_budgets.get(target)
         if budget is None:
             budget = limits.RetryBudget(self._core.cfg.relay.retry_share)
-            self._budgets[target] = budget
+            self._retry_budgets[target] = budget
         return budget
 
     def retry(self, message):
         """Tells whether a retry is within the budget of its target."""
-        allowed = self._budget(message.target).spend()
+        allowed = self._retry_budget(message.target).spend()
         if allowed:
             self._core.metrics.retries.inc()
         self._core.event(
@@ -277,7 +279,7 @@
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
-            self._budget(record.target).succeeded()
+            self._retry_budget(record.target).succeeded()
             core.load_reports.reset_backoff(record.upstream)
             core.metrics.tokens.inc(message.tokens)
             core.earnings.book(record, message.tokens)
@@ -288,14 +290,14 @@
         return {pool: trend.rates(now) for pool, trend in self.trends.items()}
 
 
-def _link_s(link, query):
+def _transfer_cost_s(link, query):
     """Returns what the way of a job between regions costs, in seconds."""
-    size = query.prompt_tokens * PROMPT_TOKEN_BYTES
-    size += query.output_tokens * OUTPUT_TOKEN_BYTES
-    return size / link.bytes_per_s + link.price * size / GIGABYTE
+    size = query.prompt_tokens * BYTES_PER_PROMPT_TOKEN
+    size += query.output_tokens * BYTES_PER_OUTPUT_TOKEN
+    return size / link.bytes_per_s + link.price * size / BYTES_PER_GIGABYTE
 
 
-def _belief(upstream, data_centre):
+def _load_estimate(upstream, data_centre):
     return placement.Belief(
         name=upstream.name,
         data_centre=data_centre,
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -132,7 +132,7 @@
             logger.error('revision {} is not valid: {}', revision, exc)
             return True
         core.catalog = built
-        core.scheduler.adopt(built)
+        core.scheduler.update_upstreams(built)
         core.metrics.revision.set(revision)
         self._follow_own_state()
         core.event('settings.adopted', f'revision {revision}', source)
