--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -19,7 +19,7 @@
 from dandelionwinch.daemon import _earnings
 from dandelionwinch.daemon import _load_reports
 from dandelionwinch.daemon import _metrics
-from dandelionwinch.daemon import _operators
+from dandelionwinch.daemon import _statements
 from dandelionwinch.daemon import _peers
 from dandelionwinch.daemon import _settings
 from dandelionwinch.daemon import _shards
@@ -85,7 +85,7 @@
         self.shards = _shards.Shards(self)
         self.claims = _claims.Claims(self)
         self.earnings = _earnings.Earnings(self)
-        self.operators = _operators.Operators(self)
+        self.statements = _statements.StatementRunner(self)
         self.peers = _peers.Peers(self)
         self.accepting = True
         self.executor = concurrent.futures.ThreadPoolExecutor(
@@ -200,7 +200,7 @@
             case messages.FindAddress(data_centre=data_centre, team=team):
                 return self.find_address(data_centre, team)
             case messages.RunStatement(text=text):
-                return self.operators.ask(text)
+                return self.statements.run(text)
             case messages.CheckReadiness():
                 return self.unready_reason()
         raise TypeError(f'"{message!r}" is not a message of the core')
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -184,7 +184,7 @@
 
     async def Rows(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        rows = self._core.operators.own_rows(request.table, request.id)
+        rows = self._core.statements.own_rows(request.table, request.id)
         await stream.send_message(
             peer_pb2.RowsReply(rows=_wire.dump_rows(rows))
         )
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -15,16 +15,16 @@
 
 EVENTS_PER_INSTANCE = 4096
 ACCEPT_TIMEOUT_S = 6.0
-ACCEPT_STEP_S = 0.1
+ACCEPT_POLL_S = 0.1
 
 
-class Operators:
+class StatementRunner:
     """Runs queries and commands."""
 
     def __init__(self, core):
         self._core = core
 
-    async def ask(self, text):
+    async def run(self, text):
         """Runs one statement.
 
         Returns:
@@ -69,7 +69,7 @@
             case 'claims':
                 return await self._claim_rows(), []
             case 'jobs' | 'earnings':
-                return await self._gather(table, '')
+                return await self._gather_rows(table, '')
         return _tables.document_rows(core, table), []
 
     def own_rows(self, table, row_id):
@@ -80,10 +80,10 @@
             case 'earnings':
                 return _tables.earning_rows(self._core)
             case 'job':
-                return self._own_job(row_id)
+                return self._own_job_rows(row_id)
         return []
 
-    async def _gather(self, table, row_id):
+    async def _gather_rows(self, table, row_id):
         request = peer_pb2.RowsRequest(table=table, id=row_id)
         replies = await self._core.peers.all('Rows', request)
         rows = list(self.own_rows(table, row_id))
@@ -105,14 +105,14 @@
         core = self._core
         request = peer_pb2.EventsRequest(limit=EVENTS_PER_INSTANCE)
         replies = await core.peers.all('Events', request)
-        rings = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
+        event_lists = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
         silent = []
         for name, reply in replies.items():
             if reply is None:
                 silent.append(name)
             else:
-                rings.append([_wire.load_event(e) for e in reply.events])
-        return timeline.merge(rings), silent
+                event_lists.append([_wire.load_event(e) for e in reply.events])
+        return timeline.merge(event_lists), silent
 
     async def _shard_rows(self, table):
         reply = await self._core.execute(effects.Scan('shards/'))
@@ -160,7 +160,7 @@
             for claim in held
         ]
 
-    def _own_job(self, job_id):
+    def _own_job_rows(self, job_id):
         record = self._core.scheduler.book.get(job_id)
         if record is None:
             return []
@@ -175,7 +175,7 @@
         ]
 
     async def _explain_job(self, job_id):
-        rows, silent = await self._gather('job', job_id)
+        rows, silent = await self._gather_rows('job', job_id)
         if not rows:
             where = f' (silent: {", ".join(silent)})' if silent else ''
             raise errors.NotFound(
@@ -211,20 +211,20 @@
                 'this instance is cut off and takes no commands'
             )
         self._check_instance(statement)
-        unheld = await self._hold_first(statement)
+        unconfirmed_holds = await self._hold_before_commit(statement)
         asked_at = core.now()
         try:
             revision = await core.settings.change(
                 lambda documents: language.edits_of(statement, documents)
             )
         except errors.StoreDown as exc:
-            if unheld is None:
+            if unconfirmed_holds is None:
                 raise
-            return self._held_only(statement, unheld, exc)
+            return self._held_without_commit(statement, unconfirmed_holds, exc)
         core.event('command.committed', f'revision {revision}', str(statement))
         if isinstance(statement, language.Undrain):
             await core.shards.end_drain(statement.name)
-        return await self._await_acceptance(revision, asked_at)
+        return await self._wait_for_acceptance(revision, asked_at)
 
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
@@ -235,7 +235,7 @@
                 f'instance "{statement.name}" does not exist'
             )
 
-    async def _hold_first(self, statement):
+    async def _hold_before_commit(self, statement):
         match statement:
             case language.Drain(kind='upstream') | language.Retire():
                 pass
@@ -248,7 +248,7 @@
             return None
         return await self._core.shards.hold_for_drain(name)
 
-    def _held_only(self, statement, unheld, exc):
+    def _held_without_commit(self, statement, unconfirmed_holds, exc):
         text = (
             f'upstream "{statement.name}" gets no new work from the live '
             'instances, but this is not stored: repeat the command when '
@@ -257,11 +257,11 @@
         return {
             'accepted': False,
             'revision': None,
-            'unconfirmed': unheld,
+            'unconfirmed': unconfirmed_holds,
             'message': f'{text} ({exc.message})',
         }
 
-    async def _await_acceptance(self, revision, asked_at):
+    async def _wait_for_acceptance(self, revision, asked_at):
         core = self._core
         data_centres = membership.staffed_data_centres(core.not_gone())
         watch = revisions.AcceptanceWatch(
@@ -273,7 +273,7 @@
             verdict = watch.observe(core.not_gone(), now)
             if verdict.accepted or now - asked_at > ACCEPT_TIMEOUT_S:
                 break
-            await asyncio.sleep(ACCEPT_STEP_S)
+            await asyncio.sleep(ACCEPT_POLL_S)
         return {
             'accepted': verdict.accepted,
             'revision': revision,
