--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -181,12 +181,12 @@
         catalog = self._core.catalog
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
-        apart = choice.prefill != decode.name
+        is_split = choice.prefill != decode.name
         return messages.Placement(
             upstream=decode.name,
             address=decode.address,
-            prefill_upstream=prefill.name if apart else '',
-            prefill_address=prefill.address if apart else '',
+            prefill_upstream=prefill.name if is_split else '',
+            prefill_address=prefill.address if is_split else '',
             token_gap_s=model.token_gap_s,
             first_token_s=max(choice.first_token_s, model.first_token_s),
         )
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -11,7 +11,7 @@
 from dandelionwinch import utils
 
 HOLD_TTL_S = 10.0
-DEMAND_LIFE_S = 10.0
+DEMAND_MAX_AGE_S = 10.0
 
 
 class Shards:
@@ -20,17 +20,17 @@
     def __init__(self, core):
         self._core = core
         self._authorities = {}
-        self._reasons = {}
-        self._drains = {}
-        self._conductors = {}
+        self._frozen_reasons = {}
+        self._drain_holds = {}
+        self._executors = {}
 
     def runs(self):
         """Returns the coroutines of this task."""
         timing = self._core.cfg.timing
         rng = self._core.rng
         period_s = timing.lease_s / orders.STEPS_PER_LEASE
-        yield _periodic.every(period_s, self._lead, rng)
-        yield _periodic.every(timing.load_s, self._carry_out_all, rng)
+        yield _periodic.every(period_s, self._renew_leases, rng)
+        yield _periodic.every(timing.load_s, self._advance_all_orders, rng)
         yield _periodic.every(1.0, self._renew_drains, rng)
 
     def _pools(self):
@@ -42,9 +42,9 @@
 
     def frozen_reason(self, upstream_name):
         """Returns why an upstream takes no orders now, or an empty text."""
-        return self._reasons.get(upstream_name, '')
+        return self._frozen_reasons.get(upstream_name, '')
 
-    async def _lead(self):
+    async def _renew_leases(self):
         core = self._core
         now = core.now()
         pools = {orders.shard_of(pool): pool for pool in self._pools()}
@@ -53,24 +53,26 @@
             if authority is not None and authority.shard is not None:
                 await self._renew_or_release(name, pool, authority, now)
             elif self._should_lead(name, pool, now):
-                await self._acquire(name, pool)
+                await self._acquire_lease(name, pool)
         held = sum(
             1 for a in self._authorities.values() if a.holds(core.now())
         )
         core.metrics.shards.set(held)
-        core.metrics.frozen.set(len([r for r in self._reasons.values() if r]))
+        core.metrics.frozen.set(
+            len([r for r in self._frozen_reasons.values() if r])
+        )
 
     def _should_lead(self, name, pool, now):
         core = self._core
         if core.members.me.leaving or core.unready_reason():
             return False
         usable = core.members.usable(now)
-        near = [
+        nearby = [
             k for k in usable if k.data_centre == pool.data_centre
         ] or usable
-        if not near:
+        if not nearby:
             return False
-        best = max(near, key=lambda k: utils.stable_hash(name, k.name))
+        best = max(nearby, key=lambda k: utils.stable_hash(name, k.name))
         return best is core.members.me
 
     async def _renew_or_release(self, name, pool, authority, now):
@@ -78,9 +80,9 @@
             await self._core.run(authority.release())
             self._core.event('shard.released', name)
         else:
-            await self._acquire(name, pool)
+            await self._acquire_lease(name, pool)
 
-    async def _acquire(self, name, pool):
+    async def _acquire_lease(self, name, pool):
         core = self._core
         authority = self._authorities.get(name)
         if authority is None:
@@ -101,9 +103,9 @@
                 core.event('shard.lost', name, reason)
         reason = '' if authority.shard else authority.wait_reason
         for upstream in upstreams:
-            self._reasons[upstream.name] = reason
+            self._frozen_reasons[upstream.name] = reason
 
-    async def _carry_out_all(self):
+    async def _advance_all_orders(self):
         core = self._core
         for pool in self._pools():
             authority = self._authorities.get(orders.shard_of(pool))
@@ -112,39 +114,39 @@
             upstreams = core.catalog.upstreams_of(pool.name)
             await asyncio.gather(
                 *(
-                    self._carry_out(authority, upstream)
+                    self._advance_order(authority, upstream)
                     for upstream in upstreams
                 )
             )
             if not any(authority.shard.open_order(r.name) for r in upstreams):
-                await self._plan(authority, pool, upstreams)
+                await self._plan_role_change(authority, pool, upstreams)
 
-    async def _carry_out(self, authority, upstream):
+    async def _advance_order(self, authority, upstream):
         if authority.shard is None:
             return
-        wish = self._wish_of_operators(authority.shard, upstream)
-        await self._step(authority, upstream, wish)
+        desired = self._configured_role(authority.shard, upstream)
+        await self._step(authority, upstream, desired)
 
-    async def _step(self, authority, upstream, wish):
+    async def _step(self, authority, upstream, desired):
         progress = await self._run(
-            self._conductor(authority).step(upstream, wish),
+            self._executor(authority).step(upstream, desired),
             authority,
             upstream,
         )
         closed = progress.event == 'order.closed'
-        self._reasons[upstream.name] = '' if closed else progress.reason
+        self._frozen_reasons[upstream.name] = '' if closed else progress.reason
         if progress.event:
             self._core.event(
                 progress.event, progress.order_id, progress.reason
             )
 
-    def _conductor(self, authority):
-        conductor = self._conductors.get(authority)
-        if conductor is None:
+    def _executor(self, authority):
+        executor = self._executors.get(authority)
+        if executor is None:
             settle_s = self._core.cfg.timing.gone_margin_s
-            conductor = orders.Conductor(authority, settle_s)
-            self._conductors[authority] = conductor
-        return conductor
+            executor = orders.Conductor(authority, settle_s)
+            self._executors[authority] = executor
+        return executor
 
     async def _run(self, program, authority, upstream):
         core = self._core
@@ -163,7 +165,7 @@
 
         return await core.run(program, handle)
 
-    def _wish_of_operators(self, shard, upstream):
+    def _configured_role(self, shard, upstream):
         core = self._core
         last = shard.orders.get(upstream.name)
         source = core.documents.revision_of(f'upstream/{upstream.name}')
@@ -176,9 +178,9 @@
             return None
         if report.message.role == upstream.role:
             return None
-        return self._wish(shard, upstream, upstream.role)
+        return self._desired_role(shard, upstream, upstream.role)
 
-    def _wish(self, shard, upstream, role):
+    def _desired_role(self, shard, upstream, role):
         source = self._core.documents.revision_of(f'upstream/{upstream.name}')
         order_id = f'{upstream.name}-{shard.epoch + 1}'
         return orders.Wish(str(role), source, order_id)
@@ -189,9 +191,9 @@
         request = peer_pb2.HoldRequest(
             upstream=upstream_name, order_id=order_id, ttl_s=HOLD_TTL_S
         )
-        own = core.load_reports.hold(request)
+        own_reply = core.load_reports.hold(request)
         replies = await core.peers.all('Hold', request)
-        replies[core.name] = own
+        replies[core.name] = own_reply
         reports = {
             name: orders.DrainReport(name, reply.jobs, asked_at, HOLD_TTL_S)
             for name, reply in replies.items()
@@ -224,7 +226,7 @@
         self._core.load_reports.hold(request)
         await self._core.peers.all('Hold', request)
 
-    async def _plan(self, authority, pool, upstreams):
+    async def _plan_role_change(self, authority, pool, upstreams):
         core = self._core
         now = core.now()
         estimates = [core.scheduler.estimates.get(r.name) for r in upstreams]
@@ -233,7 +235,7 @@
             return
         change = placement.plan_roles(
             estimates,
-            self._rates(pool, now),
+            self._demand_rates(pool, now),
             core.catalog.policy_of(pool),
             0,
             now,
@@ -242,14 +244,14 @@
             return
         upstream = core.catalog.get('upstream', change.upstream)
         core.event('role.planned', upstream.name, change.terms)
-        wish = self._wish(authority.shard, upstream, change.role)
-        await self._step(authority, upstream, wish)
+        desired = self._desired_role(authority.shard, upstream, change.role)
+        await self._step(authority, upstream, desired)
 
-    def _rates(self, pool, now):
-        own = self._core.scheduler.demands(now).get(pool.name)
-        found = [own] if own else []
+    def _demand_rates(self, pool, now):
+        own_reply = self._core.scheduler.demands(now).get(pool.name)
+        found = [own_reply] if own_reply else []
         for at, demands in self._core.heartbeats.demands.values():
-            if now - at < DEMAND_LIFE_S and pool.name in demands:
+            if now - at < DEMAND_MAX_AGE_S and pool.name in demands:
                 found.append(demands[pool.name])
         return [
             tuple(sum(rates[view][side] for rates in found) for side in (0, 1))
@@ -262,18 +264,18 @@
         Returns:
             Names of the live instances that did not confirm it.
         """
-        self._drains[upstream_name] = self._core.now()
+        self._drain_holds[upstream_name] = self._core.now()
         held = await self._hold(upstream_name, f'drain:{upstream_name}')
         live = self._core.members.live(self._core.now())
         return [k.name for k in live if k.name not in held.reports]
 
     async def end_drain(self, upstream_name):
         """Takes the hold of a drain back."""
-        self._drains.pop(upstream_name, None)
+        self._drain_holds.pop(upstream_name, None)
         await self._release_hold(upstream_name, f'drain:{upstream_name}')
 
     async def _renew_drains(self):
-        for name in list(self._drains):
+        for name in list(self._drain_holds):
             upstream = self._core.catalog.get('upstream', name)
             stored = (
                 upstream is None
@@ -281,7 +283,7 @@
             )
             if stored:
                 # Every instance follows the stored state from now on.
-                del self._drains[name]
+                del self._drain_holds[name]
             else:
                 await self.hold_for_drain(name)
 
