--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -42,7 +42,7 @@
         self._unresolved = {}
         self._scanned_at = {}
 
-    def runs(self):
+    def coroutines(self):
         """Returns the coroutines of this task."""
         cfg = self._core.cfg.claims
         rng = self._core.rng
@@ -133,7 +133,7 @@
                 await asyncio.sleep(self._core.cfg.claims.batch_wait_s)
                 batch, pending.items = pending.items, []
                 mutations = [mutation for mutation, _fut in batch]
-                results = await self._core.run(
+                results = await self._core.run_program(
                     claims.commit_batch(
                         bucket, mutations, self._core.cfg.claims
                     )
@@ -164,7 +164,7 @@
 
     async def _resolve(self, bucket):
         core = self._core
-        reply = await core.execute(effects.Read(bucket))
+        reply = await core.call_store(effects.Read(bucket))
         if not isinstance(reply, effects.Found):
             return
         held = claims.Bucket.load(core.cfg.claims, reply.record.value)
@@ -174,7 +174,7 @@
             if claim.state in (claims.State.OPEN, claims.State.UNKNOWN)
         ]
         self._unresolved[bucket] = len(waiting)
-        clock = await core.run(_read_clock())
+        clock = await core.run_program(_read_clock())
         for claim in waiting:
             await self._resolve_claim(bucket, claim, clock)
 
@@ -223,7 +223,9 @@
             for upstream in core.catalog.upstreams_of(pool.name)
         ]
         answers = [
-            await core.call(core.services.outcome, upstream.address, key)
+            await core.run_blocking(
+                core.services.outcome, upstream.address, key
+            )
             for upstream in upstreams
         ]
         for answer in answers:
@@ -235,7 +237,7 @@
 
     async def rows(self):
         """Returns all claims, or None if the store was not reached."""
-        reply = await self._core.execute(effects.Scan('claims/'))
+        reply = await self._core.call_store(effects.Scan('claims/'))
         if not isinstance(reply, effects.Scanned):
             return None
         found = []
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -32,10 +32,10 @@
 from dandelionwinch import revisions
 from dandelionwinch import timeline
 
-STORE_THREADS = 24
-ASK_TIMEOUT_S = 30.0
-STOP_STEP_S = 0.1
-MICROSECONDS = 1_000_000
+IO_THREADS = 24
+REQUEST_TIMEOUT_S = 30.0
+DRAIN_POLL_S = 0.1
+MICROSECONDS_PER_S = 1_000_000
 
 logger = loguru.logger
 
@@ -64,7 +64,7 @@
             cfg.relay.connect_timeout_s, cfg.relay.idle_connection_s
         )
         self.members = membership.Membership(
-            self._member(), cfg.timing, self.rng
+            self._own_member(), cfg.timing, self.rng
         )
         self.departures = membership.Departures(cfg.timing.gone_margin_s)
         self.freshness = membership.Freshness(
@@ -72,7 +72,7 @@
         )
         self.documents = revisions.Documents()
         self.catalog = catalog.EMPTY
-        self.hybrid_clock = timeline.HybridClock(_wall_us)
+        self.hybrid_clock = timeline.HybridClock(_wall_clock_us)
         self.event_buffer = timeline.EventBuffer(
             cfg.instance.name, self.hybrid_clock, cfg.events_kept
         )
@@ -89,7 +89,7 @@
         self.peers = _peers.Peers(self)
         self.accepting = True
         self.executor = concurrent.futures.ThreadPoolExecutor(
-            STORE_THREADS, thread_name_prefix='core-io'
+            IO_THREADS, thread_name_prefix='core-io'
         )
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(
@@ -97,7 +97,7 @@
         )
         self._tasks = []
 
-    def _member(self):
+    def _own_member(self):
         me = self.cfg.instance
         return peer_pb2.Member(
             name=me.name,
@@ -123,7 +123,7 @@
     def start(self):
         """Starts the loop, the peers' listener and all tasks."""
         self._thread.start()
-        self._wait(self._start(), ASK_TIMEOUT_S)
+        self._wait(self._start(), REQUEST_TIMEOUT_S)
 
     async def _start(self):
         await self.peers.start()
@@ -136,8 +136,8 @@
             self.claims,
             self.earnings,
         ):
-            for run in task.runs():
-                self._tasks.append(asyncio.create_task(_guard(run)))
+            for run in task.coroutines():
+                self._tasks.append(asyncio.create_task(_log_failure(run)))
         self.event('instance.started', self.name)
 
     def _wait(self, coroutine, timeout_s):
@@ -154,7 +154,7 @@
                 f'{timeout_s:g} s'
             ) from None
 
-    def request(self, message, timeout_s=ASK_TIMEOUT_S):
+    def request(self, message, timeout_s=REQUEST_TIMEOUT_S):
         """Sends a message from another thread and waits for the reply.
 
         Raises:
@@ -177,7 +177,7 @@
             fut.set_result(reply)
             return
         task = asyncio.ensure_future(reply)
-        task.add_done_callback(lambda done: _hand_over(done, fut))
+        task.add_done_callback(lambda done: _copy_outcome(done, fut))
 
     def _handle(self, message):
         match message:
@@ -214,14 +214,14 @@
         self.event_buffer.add(kind, subject, detail)
         logger.bind(subject=subject).debug('{} {}', kind, detail)
 
-    async def execute(self, request):
+    async def call_store(self, request):
         """Runs a store request without blocking the loop."""
         self.metrics.store_calls.labels(type(request).__name__).inc()
         return await self._loop.run_in_executor(
             self.executor, self.store.execute, request
         )
 
-    async def run(self, program, handle=None):
+    async def run_program(self, program, handle=None):
         """Runs a decision program to its end.
 
         Args:
@@ -229,7 +229,7 @@
             handle: Async function that serves its requests, or None if
                 they are all for the store and the clock.
         """
-        handle = handle or self.run_request
+        handle = handle or self.run_effect
         reply = None
         while True:
             try:
@@ -238,13 +238,13 @@
                 return stop.value
             reply = await handle(request)
 
-    async def run_request(self, request):
+    async def run_effect(self, request):
         """Runs one request of a decision program."""
         if isinstance(request, effects.Clock):
             return effects.Time(self.now(), time.time())
-        return await self.execute(request)
+        return await self.call_store(request)
 
-    async def call(self, function, *args):
+    async def run_blocking(self, function, *args):
         """Runs a blocking function in a thread of the core's own."""
         return await self._loop.run_in_executor(self.executor, function, *args)
 
@@ -285,7 +285,7 @@
 
     def leave(self):
         """Announces that this instance is leaving; it still serves."""
-        self._wait(self._leave(), ASK_TIMEOUT_S)
+        self._wait(self._leave(), REQUEST_TIMEOUT_S)
 
     async def _leave(self):
         self.members.leave()
@@ -299,16 +299,16 @@
         time.sleep(grace_s)
         limit = time.monotonic() + timing.drain_limit_s
         while self.scheduler.running_jobs() and time.monotonic() < limit:
-            time.sleep(STOP_STEP_S)
+            time.sleep(DRAIN_POLL_S)
         self.accepting = False
         while self.scheduler.running_jobs() and time.monotonic() < limit:
-            time.sleep(STOP_STEP_S)
+            time.sleep(DRAIN_POLL_S)
 
     def close(self):
         """Releases what is held and stops all tasks."""
-        self._wait(self._close(), ASK_TIMEOUT_S)
+        self._wait(self._close(), REQUEST_TIMEOUT_S)
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(timeout=ASK_TIMEOUT_S)
+        self._thread.join(timeout=REQUEST_TIMEOUT_S)
         self.executor.shutdown(wait=False, cancel_futures=True)
         for adapter in (
             self.store,
@@ -327,7 +327,7 @@
         await self.peers.close()
 
 
-def _hand_over(task, fut):
+def _copy_outcome(task, fut):
     """Gives a task's outcome to the thread that waits for it."""
     if fut.cancelled():
         return
@@ -339,7 +339,7 @@
         fut.set_result(task.result())
 
 
-async def _guard(run):
+async def _log_failure(run):
     """Logs what ended a task before the task ends."""
     try:
         await run
@@ -350,5 +350,5 @@
         raise
 
 
-def _wall_us():
-    return int(time.time() * MICROSECONDS)
+def _wall_clock_us():
+    return int(time.time() * MICROSECONDS_PER_S)
--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -14,7 +14,7 @@
         self.ledger = earnings.Ledger(core.name, core.incarnation)
         self._written_at = float('-inf')
 
-    def runs(self):
+    def coroutines(self):
         """Returns the coroutines of this task."""
         period_s = self._core.cfg.timing.earnings_s
         yield _periodic.every(period_s, self._write_if_due, self._core.rng)
@@ -35,4 +35,4 @@
 
     async def write(self):
         """Writes the totals if they changed."""
-        await self._core.run(self.ledger.write())
+        await self._core.run_program(self.ledger.write())
--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -18,7 +18,7 @@
         self.demands = {}
         self._sent_rates = {}
 
-    def runs(self):
+    def coroutines(self):
         """Returns the coroutines of this task."""
         timing = self._core.cfg.timing
         rng = self._core.rng
@@ -28,7 +28,7 @@
 
     async def _read_live_list(self):
         core = self._core
-        listed = await core.call(core.live_list.fetch)
+        listed = await core.run_blocking(core.live_list.fetch)
         if listed is None:
             core.departures.unread()
             return
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -42,7 +42,7 @@
         self._holds = {}
         self._backoffs = {}
 
-    def runs(self):
+    def coroutines(self):
         """Returns the coroutines of this task."""
         period_s = self._core.cfg.timing.load_s
         yield _periodic.every(period_s, self._poll_all, self._core.rng)
@@ -80,7 +80,7 @@
         """
         core = self._core
         asked_at = core.now()
-        load = await core.call(core.upstreams.load, upstream.address)
+        load = await core.run_blocking(core.upstreams.load, upstream.address)
         message = peer_pb2.UpstreamLoad(upstream=upstream.name)
         if load is None:
             message.failed = True
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -31,7 +31,7 @@
         self._polled_at = float('-inf')
         self._changes = 0
 
-    def runs(self):
+    def coroutines(self):
         """Returns the coroutines of this task."""
         yield _periodic.every(SPEAKER_POLL_S, self._poll, self._core.rng)
 
@@ -43,7 +43,7 @@
 
     async def _ask_listed_peers(self):
         core = self._core
-        listed = await core.call(core.live_list.fetch)
+        listed = await core.run_blocking(core.live_list.fetch)
         for line in listed or ():
             if line.name != core.name:
                 await self.fetch_from(line.peer_address)
@@ -57,7 +57,7 @@
                 return revisions.Rejected('head', documents.revision)
             return seed.docs
 
-        await self._core.run(revisions.change(edit, self._token()))
+        await self._core.run_program(revisions.change(edit, self._token()))
 
     def _token(self):
         self._changes += 1
@@ -77,7 +77,7 @@
         core = self._core
         asked_at = core.now()
         self._polled_at = asked_at
-        fetched = await core.run(revisions.fetch(self._store_revision))
+        fetched = await core.run_program(revisions.fetch(self._store_revision))
         if isinstance(fetched, revisions.Fetched):
             self._store_revision = fetched.store_revision
             core.freshness.store_read(asked_at)
@@ -173,7 +173,9 @@
             catalog.build(values, readers.structure)
             return edits
 
-        result = await self._core.run(revisions.change(checked, self._token()))
+        result = await self._core.run_program(
+            revisions.change(checked, self._token())
+        )
         match result:
             case revisions.Changed(revision=revision):
                 await self._poll_store()
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -24,7 +24,7 @@
         self._drain_holds = {}
         self._executors = {}
 
-    def runs(self):
+    def coroutines(self):
         """Returns the coroutines of this task."""
         timing = self._core.cfg.timing
         rng = self._core.rng
@@ -77,7 +77,7 @@
 
     async def _renew_or_release(self, name, pool, authority, now):
         if self._core.members.me.leaving:
-            await self._core.run(authority.release())
+            await self._core.run_program(authority.release())
             self._core.event('shard.released', name)
         else:
             await self._acquire_lease(name, pool)
@@ -93,7 +93,7 @@
         held = authority.shard is not None
         upstreams = core.catalog.upstreams_of(pool.name)
         fenced = all(upstream.checks_fencing for upstream in upstreams)
-        result = await core.run(
+        result = await core.run_program(
             authority.acquire(fenced, core.departures.is_gone)
         )
         match result:
@@ -161,9 +161,9 @@
                     return await self._release_hold(upstream.name, order_id)
                 case orders.SendOrder(order=order):
                     return await self._send(authority, upstream, order)
-            return await core.run_request(request)
+            return await core.run_effect(request)
 
-        return await core.run(program, handle)
+        return await core.run_program(program, handle)
 
     def _configured_role(self, shard, upstream):
         core = self._core
@@ -214,7 +214,7 @@
         if not authority.begin_send():
             return None
         try:
-            answer = await core.call(send)
+            answer = await core.run_blocking(send)
         finally:
             authority.end_send()
         return None if answer is None else answer.taken
@@ -291,7 +291,7 @@
         """Releases every shard that is held."""
         for name, authority in self._authorities.items():
             if authority.shard is not None:
-                await self._core.run(authority.release())
+                await self._core.run_program(authority.release())
                 self._core.event('shard.released', name)
 
 
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -115,7 +115,7 @@
         return timeline.merge(event_lists), silent
 
     async def _shard_rows(self, table):
-        reply = await self._core.execute(effects.Scan('shards/'))
+        reply = await self._core.call_store(effects.Scan('shards/'))
         if not isinstance(reply, effects.Scanned):
             raise errors.StoreDown(
                 f'table "{table}" is in the store, which was not reached'
