--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -13,14 +13,14 @@
 from dandelionwinch import utils
 
 FORWARD_TIMEOUT_S = 1.5
-FULL_SCAN_S = 30.0
-DISOWN_RETRY_S = 1.0
-MAX_PENDING = 4096
+FULL_SCAN_INTERVAL_S = 30.0
+BACKLOG_RETRY_S = 1.0
+MAX_PENDING_PER_BUCKET = 4096
 CLOSE_WAIT_S = 0.3
 
 
 @attrs.define
-class _Pending:
+class _PendingBatch:
     """Changes that wait for the next write of a bucket."""
 
     items: list = attrs.field(factory=list)
@@ -39,7 +39,7 @@
         self._core = core
         self._pending = {}
         self._backlog = []
-        self._unresolved = {}
+        self._unresolved_counts = {}
         self._scanned_at = {}
 
     def coroutines(self):
@@ -47,7 +47,7 @@
         cfg = self._core.cfg.claims
         rng = self._core.rng
         yield _periodic.every(cfg.resolve_s, self._resolve_all, rng)
-        yield _periodic.every(DISOWN_RETRY_S, self._settle_backlog, rng)
+        yield _periodic.every(BACKLOG_RETRY_S, self._retry_backlog, rng)
 
     async def open(self, opening):
         """Asks for the right to send a call once."""
@@ -66,15 +66,15 @@
         claim that stays open for a while is merely looked into.
         """
         self._core.event('claim.closed', close.key, str(close.state))
-        task = asyncio.create_task(self._close_or_keep(close))
+        task = asyncio.create_task(self._close_or_queue(close))
         await asyncio.wait([task], timeout=CLOSE_WAIT_S)
 
-    async def _close_or_keep(self, close):
+    async def _close_or_queue(self, close):
         result = await self._route(close)
         if not isinstance(result, claims.Recorded):
             self._backlog.append(close)
 
-    async def _settle_backlog(self):
+    async def _retry_backlog(self):
         backlog, self._backlog = self._backlog, []
         for close in backlog:
             result = await self._route(close)
@@ -83,7 +83,7 @@
 
     async def flush(self):
         """Tries once to write what is not written yet."""
-        await self._settle_backlog()
+        await self._retry_backlog()
 
     def _owner(self, bucket):
         core = self._core
@@ -117,16 +117,16 @@
 
     async def write(self, bucket, mutation):
         """Adds a change to the next write of a bucket."""
-        pending = self._pending.setdefault(bucket, _Pending())
-        if len(pending.items) >= MAX_PENDING:
+        pending = self._pending.setdefault(bucket, _PendingBatch())
+        if len(pending.items) >= MAX_PENDING_PER_BUCKET:
             return claims.Unreached()
         fut = asyncio.get_running_loop().create_future()
         pending.items.append((mutation, fut))
         if pending.task is None:
-            pending.task = asyncio.create_task(self._write_out(bucket))
+            pending.task = asyncio.create_task(self._write_batches(bucket))
         return await fut
 
-    async def _write_out(self, bucket):
+    async def _write_batches(self, bucket):
         pending = self._pending[bucket]
         try:
             while pending.items:
@@ -152,14 +152,14 @@
         for number in range(core.cfg.claims.buckets):
             bucket = claims.bucket_key(number)
             if self._owner(bucket) is not None:
-                self._unresolved.pop(bucket, None)
+                self._unresolved_counts.pop(bucket, None)
                 continue
             scanned_at = self._scanned_at.get(bucket, float('-inf'))
-            due = now - scanned_at >= FULL_SCAN_S
-            if due or self._unresolved.get(bucket):
+            due = now - scanned_at >= FULL_SCAN_INTERVAL_S
+            if due or self._unresolved_counts.get(bucket):
                 self._scanned_at[bucket] = now
                 await self._resolve(bucket)
-        unresolved = sum(self._unresolved.values())
+        unresolved = sum(self._unresolved_counts.values())
         core.metrics.claims_open.set(unresolved)
 
     async def _resolve(self, bucket):
@@ -173,7 +173,7 @@
             for claim in held.claims()
             if claim.state in (claims.State.OPEN, claims.State.UNKNOWN)
         ]
-        self._unresolved[bucket] = len(waiting)
+        self._unresolved_counts[bucket] = len(waiting)
         clock = await core.run_program(_read_clock())
         for claim in waiting:
             await self._resolve_claim(bucket, claim, clock)
@@ -184,7 +184,7 @@
         gone = core.departures.is_gone(holder, int(incarnation), clock.now)
         if not claims.is_unfinished(claim, gone):
             return
-        answer = await self._ask_back_end(claim)
+        answer = await self._query_outcome(claim)
         proof = claims.Proof.CANNOT_SAY
         match answer:
             case service_adapter.Ran():
@@ -211,7 +211,7 @@
         await self.write(bucket, close)
         core.event('claim.resolved', claim.key, str(state))
 
-    async def _ask_back_end(self, claim):
+    async def _query_outcome(self, claim):
         core = self._core
         name, _, key = claim.key.partition('/')
         service = core.catalog.get('service', name)
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -80,7 +80,7 @@
         self.scheduler = _scheduler.Scheduler(self)
         self.placement_router = _placement_router.PlacementRouter(self)
         self.heartbeats = _heartbeats.Heartbeats(self)
-        self.settings = _settings.SettingsTask(self)
+        self.settings = _settings.SettingsSync(self)
         self.load_reports = _load_reports.LoadReports(self)
         self.shards = _shards.Shards(self)
         self.claims = _claims.Claims(self)
@@ -127,7 +127,7 @@
 
     async def _start(self):
         await self.peers.start()
-        await self.settings.load_first()
+        await self.settings.load_initial()
         for task in (
             self.heartbeats,
             self.settings,
--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -3,7 +3,7 @@
 from dandelionwinch.daemon import _periodic
 from dandelionwinch import earnings
 
-DUE_SHARE = 0.9
+DUE_RATIO = 0.9
 
 
 class Earnings:
@@ -19,7 +19,7 @@
         period_s = self._core.cfg.timing.earnings_s
         yield _periodic.every(period_s, self._write_if_due, self._core.rng)
 
-    def book(self, record, tokens):
+    def record_job(self, record, tokens):
         """Books a job whose whole answer reached its client."""
         self.ledger.book(record.id, record.team, tokens)
 
@@ -29,7 +29,7 @@
         period_s = earnings.write_period(
             core.cfg.timing.earnings_s, len(core.members.live(now))
         )
-        if now - self._written_at >= period_s * DUE_SHARE:
+        if now - self._written_at >= period_s * DUE_RATIO:
             self._written_at = now
             await self.write()
 
--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -63,7 +63,7 @@
         core = self._core
         asked_at = core.now()
         data_centre = core.members.data_centre_at(address)
-        reply = await core.peers.beat(
+        reply = await core.peers.exchange_digests(
             address, self.build_digest(address, data_centre)
         )
         if reply is None:
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -154,7 +154,7 @@
                 core.event('upstream.held', request.upstream, request.order_id)
             self._holds[key] = core.now() + request.ttl_s
         self._mark_held(request.upstream)
-        jobs = core.scheduler.book.on_upstream(request.upstream)
+        jobs = core.scheduler.job_history.on_upstream(request.upstream)
         return peer_pb2.HoldReply(jobs=jobs, instance=core.name)
 
     def is_held(self, upstream):
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -13,11 +13,11 @@
 from dandelionwinch.peers import peer_grpc
 from dandelionwinch.peers import peer_pb2
 
-BEAT_TIMEOUT_S = 1.0
+HEARTBEAT_TIMEOUT_S = 1.0
 CALL_TIMEOUT_S = 2.0
 FAILURES_BEFORE_RECONNECT = 1
 
-_FAILED = (
+_CALL_ERRORS = (
     exceptions.GRPCError,
     exceptions.StreamTerminatedError,
     OSError,
@@ -41,7 +41,7 @@
 
     async def start(self):
         """Starts to listen for peers."""
-        self._server = server.Server([_Service(self._core)])
+        self._server = server.Server([_PeerService(self._core)])
         host, port = split_address(self._core.cfg.instance.peer_address)
         context = _server_context(self._core.cfg.security)
         await self._server.start(host, port, ssl=context)
@@ -54,9 +54,9 @@
         if self._server is not None:
             self._server.close()
 
-    async def beat(self, address, digest):
+    async def exchange_digests(self, address, digest):
         """Exchanges digests; returns None if the peer did not answer."""
-        return await self.call(address, 'Beat', digest, BEAT_TIMEOUT_S)
+        return await self.call(address, 'Beat', digest, HEARTBEAT_TIMEOUT_S)
 
     async def call(self, address, method, request, timeout_s=CALL_TIMEOUT_S):
         """Calls a peer's method.
@@ -75,7 +75,7 @@
             return await getattr(stub, method)(
                 request, timeout=timeout_s, metadata=metadata
             )
-        except _FAILED:
+        except _CALL_ERRORS:
             # The connection may have gone silent for good.
             if self._channels.get(address) is channel:
                 del self._channels[address]
@@ -91,7 +91,7 @@
             self._channels[address] = channel
         return channel
 
-    async def all(self, method, request, timeout_s=CALL_TIMEOUT_S):
+    async def broadcast(self, method, request, timeout_s=CALL_TIMEOUT_S):
         """Calls a method of every other live instance.
 
         Returns:
@@ -133,7 +133,7 @@
     return context
 
 
-class _Service(peer_grpc.PeerBase):
+class _PeerService(peer_grpc.PeerBase):
     """Answers peers."""
 
     def __init__(self, core):
@@ -156,7 +156,7 @@
 
     async def Documents(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        await stream.send_message(self._core.settings.reply(request))
+        await stream.send_message(self._core.settings.handle(request))
 
     async def Hold(self, stream):  # noqa: N802
         request = await self._receive(stream)
--- a/dandelionwinch/daemon/_periodic.py
+++ b/dandelionwinch/daemon/_periodic.py
@@ -4,7 +4,7 @@
 
 import loguru
 
-JITTER_SHARE = 0.1
+JITTER_RATIO = 0.1
 
 logger = loguru.logger
 
@@ -23,5 +23,5 @@
             await step()
         except Exception:
             logger.exception('a periodic step failed')
-        jitter = 1 + JITTER_SHARE * (2 * rng.random() - 1)
+        jitter = 1 + JITTER_RATIO * (2 * rng.random() - 1)
         await asyncio.sleep(period_s * jitter)
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -20,7 +20,7 @@
 
     def __init__(self, core):
         self._core = core
-        self.book = jobs.JobBook()
+        self.job_history = jobs.JobBook()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
         self.estimates = placement.Beliefs()
         self.placer = placement.Placer(self.estimates, core.rng)
@@ -57,7 +57,7 @@
         record = jobs.JobRecord(
             message.job_id, message.team, message.target, now
         )
-        self.book.open(record)
+        self.job_history.open(record)
         core.metrics.running.set(self.admission.jobs)
         core.event('job.admitted', message.job_id, message.target)
 
@@ -146,7 +146,7 @@
         return sites
 
     def _record_placement(self, message, choice, now):
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         job = message.job
         if record is not None:
             record.upstream = choice.decode or choice.prefill
@@ -227,7 +227,7 @@
             )
         ranked.sort(key=lambda pair: pair[0])
         upstreams = tuple(upstream for _rank, upstream in ranked)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.upstream = upstreams[0].name
             record.attempts += 1
@@ -239,7 +239,7 @@
         now = core.now()
         self.estimates.failed(message.upstream, now)
         core.load_reports.back_off(message.upstream, now)
-        record = self.book.get(message.job_id)
+        record = self.job_history.get(message.job_id)
         if record is not None:
             record.terms.append(
                 f'upstream "{message.upstream}" failed: {message.reason}'
@@ -268,7 +268,7 @@
     def finish(self, message):
         """Notes how a job ended and books what it earned."""
         core = self._core
-        record = self.book.end(
+        record = self.job_history.end(
             message.job_id, message.state, message.code, core.now()
         )
         if record is None:
@@ -282,7 +282,7 @@
             self._retry_budget(record.target).succeeded()
             core.load_reports.reset_backoff(record.upstream)
             core.metrics.tokens.inc(message.tokens)
-            core.earnings.book(record, message.tokens)
+            core.earnings.record_job(record, message.tokens)
         core.event(f'job.{message.state}', record.id, message.code)
 
     def demands(self, now):
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -13,12 +13,12 @@
 from dandelionwinch import revisions
 from dandelionwinch import settings
 
-SPEAKER_POLL_S = 1.0
+FAST_POLL_S = 1.0
 
 logger = loguru.logger
 
 
-class SettingsTask:
+class SettingsSync:
     """Adopts higher revisions only, wherever they come from.
 
     The speakers of a data centre poll the store each second; the others get
@@ -29,26 +29,26 @@
         self._core = core
         self._store_revision = 0
         self._polled_at = float('-inf')
-        self._changes = 0
+        self._change_count = 0
 
     def coroutines(self):
         """Returns the coroutines of this task."""
-        yield _periodic.every(SPEAKER_POLL_S, self._poll, self._core.rng)
+        yield _periodic.every(FAST_POLL_S, self._poll, self._core.rng)
 
-    async def load_first(self):
+    async def load_initial(self):
         """Takes what the store or, failing that, a listed peer has."""
         fetched = await self._poll_store()
         if isinstance(fetched, revisions.Unreached):
-            await self._ask_listed_peers()
+            await self._fetch_from_listed_peers()
 
-    async def _ask_listed_peers(self):
+    async def _fetch_from_listed_peers(self):
         core = self._core
         listed = await core.run_blocking(core.live_list.fetch)
         for line in listed or ():
             if line.name != core.name:
                 await self.fetch_from(line.peer_address)
 
-    async def _seed(self):
+    async def _seed_store(self):
         path = pathlib.Path(self._core.cfg.catalog_file)
         seed = readers.read_catalog(path)
 
@@ -57,20 +57,22 @@
                 return revisions.Rejected('head', documents.revision)
             return seed.docs
 
-        await self._core.run_program(revisions.change(edit, self._token()))
+        await self._core.run_program(
+            revisions.change(edit, self._change_token())
+        )
 
-    def _token(self):
-        self._changes += 1
+    def _change_token(self):
+        self._change_count += 1
         core = self._core
-        return f'{core.name}#{core.incarnation}#{self._changes}'
+        return f'{core.name}#{core.incarnation}#{self._change_count}'
 
     async def _poll(self):
         core = self._core
         now = core.now()
-        speaks = core.members.me in core.members.speakers(
+        is_speaker = core.members.me in core.members.speakers(
             core.data_centre, now
         )
-        if speaks or now - self._polled_at >= core.cfg.store.poll_s:
+        if is_speaker or now - self._polled_at >= core.cfg.store.poll_s:
             await self._poll_store()
 
     async def _poll_store(self):
@@ -84,7 +86,7 @@
             if self.adopt(fetched.revision, fetched.documents, 'store'):
                 await core.heartbeats.announce()
             elif core.documents.revision == 0 and core.cfg.catalog_file:
-                await self._seed()
+                await self._seed_store()
         return fetched
 
     async def fetch_from(self, address):
@@ -104,7 +106,7 @@
         ]
         self.adopt(reply.revision, documents, address)
 
-    def reply(self, request):
+    def handle(self, request):
         """Answers a peer that asks for newer documents."""
         held = self._core.documents
         reply = peer_pb2.DocumentsReply(revision=held.revision)
@@ -134,11 +136,11 @@
         core.catalog = built
         core.scheduler.update_upstreams(built)
         core.metrics.revision.set(revision)
-        self._follow_own_state()
+        self._apply_own_state()
         core.event('settings.adopted', f'revision {revision}', source)
         return True
 
-    def _follow_own_state(self):
+    def _apply_own_state(self):
         core = self._core
         wanted = core.catalog.get('instance', core.name)
         if wanted is None:
@@ -174,7 +176,7 @@
             return edits
 
         result = await self._core.run_program(
-            revisions.change(checked, self._token())
+            revisions.change(checked, self._change_token())
         )
         match result:
             case revisions.Changed(revision=revision):
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -192,7 +192,7 @@
             upstream=upstream_name, order_id=order_id, ttl_s=HOLD_TTL_S
         )
         own_reply = core.load_reports.hold(request)
-        replies = await core.peers.all('Hold', request)
+        replies = await core.peers.broadcast('Hold', request)
         replies[core.name] = own_reply
         reports = {
             name: orders.DrainReport(name, reply.jobs, asked_at, HOLD_TTL_S)
@@ -224,7 +224,7 @@
             upstream=upstream_name, order_id=order_id, release=True
         )
         self._core.load_reports.hold(request)
-        await self._core.peers.all('Hold', request)
+        await self._core.peers.broadcast('Hold', request)
 
     async def _plan_role_change(self, authority, pool, upstreams):
         core = self._core
@@ -248,8 +248,8 @@
         await self._step(authority, upstream, desired)
 
     def _demand_rates(self, pool, now):
-        own_reply = self._core.scheduler.demands(now).get(pool.name)
-        found = [own_reply] if own_reply else []
+        own = self._core.scheduler.demands(now).get(pool.name)
+        found = [own] if own else []
         for at, demands in self._core.heartbeats.demands.values():
             if now - at < DEMAND_MAX_AGE_S and pool.name in demands:
                 found.append(demands[pool.name])
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -85,7 +85,7 @@
 
     async def _gather_rows(self, table, row_id):
         request = peer_pb2.RowsRequest(table=table, id=row_id)
-        replies = await self._core.peers.all('Rows', request)
+        replies = await self._core.peers.broadcast('Rows', request)
         rows = list(self.own_rows(table, row_id))
         silent = []
         for name, reply in replies.items():
@@ -104,7 +104,7 @@
         """
         core = self._core
         request = peer_pb2.EventsRequest(limit=EVENTS_PER_INSTANCE)
-        replies = await core.peers.all('Events', request)
+        replies = await core.peers.broadcast('Events', request)
         event_lists = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
         silent = []
         for name, reply in replies.items():
@@ -161,7 +161,7 @@
         ]
 
     def _own_job_rows(self, job_id):
-        record = self._core.scheduler.book.get(job_id)
+        record = self._core.scheduler.job_history.get(job_id)
         if record is None:
             return []
         return [
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -134,7 +134,7 @@
             'seconds': round((record.ended or now) - record.started, 3),
             'instance': core.name,
         }
-        for record in core.scheduler.book.all()
+        for record in core.scheduler.job_history.all()
     ]
 
 
