--- a/dandelionwinch/daemon/__init__.py
+++ b/dandelionwinch/daemon/__init__.py
@@ -1,4 +1,8 @@
-"""The tasks of one entry instance, around the pure decisions."""
+"""The event loop of one entry instance: state, background tasks, I/O.
+
+The decisions themselves are made by packages without I/O; this package
+feeds them with clocks, store replies and messages of peers.
+"""
 
 from dandelionwinch.daemon._core import Core
 
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -1,4 +1,4 @@
-"""The core of an instance: owns its state and answers messages."""
+"""The core of an instance: owns its state and handles messages."""
 
 import asyncio
 import concurrent.futures
@@ -13,17 +13,17 @@
 from dandelionwinch.adapters import upstream as upstream_adapter
 from dandelionwinch import addresses
 from dandelionwinch import catalog
-from dandelionwinch.daemon import _heartbeats
 from dandelionwinch.daemon import _claims
-from dandelionwinch.daemon import _placement_router
 from dandelionwinch.daemon import _earnings
+from dandelionwinch.daemon import _heartbeats
 from dandelionwinch.daemon import _load_reports
 from dandelionwinch.daemon import _metrics
-from dandelionwinch.daemon import _statements
 from dandelionwinch.daemon import _peers
+from dandelionwinch.daemon import _placement_router
+from dandelionwinch.daemon import _scheduler
 from dandelionwinch.daemon import _settings
 from dandelionwinch.daemon import _shards
-from dandelionwinch.daemon import _scheduler
+from dandelionwinch.daemon import _statements
 from dandelionwinch.daemon import messages
 from dandelionwinch import effects
 from dandelionwinch import errors
@@ -43,8 +43,11 @@
 class Core:
     """Runs all tasks of an instance in one event loop.
 
-    The loop has a thread of its own. Other threads send a message with
-    ``request`` and wait for its reply; they touch no state themselves.
+    The loop has a thread of its own, and only that thread changes state.
+    Other threads send a message with ``request`` and wait for the reply.
+
+    Args:
+        cfg: EntrySettings.
     """
 
     def __init__(self, cfg):
@@ -121,14 +124,14 @@
         return self.cfg.instance.data_centre
 
     def start(self):
-        """Starts the loop, the peers' listener and all tasks."""
+        """Starts the event loop, the listener for peers and all tasks."""
         self._thread.start()
         self._wait(self._start(), REQUEST_TIMEOUT_S)
 
     async def _start(self):
         await self.peers.start()
         await self.settings.load_initial()
-        for task in (
+        for component in (
             self.heartbeats,
             self.settings,
             self.load_reports,
@@ -136,8 +139,10 @@
             self.claims,
             self.earnings,
         ):
-            for run in task.coroutines():
-                self._tasks.append(asyncio.create_task(_log_failure(run)))
+            for coroutine in component.coroutines():
+                self._tasks.append(
+                    asyncio.create_task(_log_failure(coroutine))
+                )
         self.event('instance.started', self.name)
 
     def _wait(self, coroutine, timeout_s):
@@ -157,15 +162,23 @@
     def request(self, message, timeout_s=REQUEST_TIMEOUT_S):
         """Sends a message from another thread and waits for the reply.
 
+        Args:
+            message: One of the classes in ``messages``.
+            timeout_s: Longest wait for the reply.
+
+        Returns:
+            The reply; its type depends on the message.
+
         Raises:
-            DandelionwinchError: As the handling of the message decides.
+            DeadlinePassed: If there was no reply in time.
+            DandelionwinchError: If the handler of the message raised it.
         """
         fut = concurrent.futures.Future()
         self._loop.call_soon_threadsafe(self._dispatch, message, fut)
         return self._result(fut, timeout_s)
 
     def _dispatch(self, message, fut):
-        """Answers a message; only slow ones become a task."""
+        """Handles a message; only coroutine handlers become a task."""
         if fut.cancelled():
             return
         try:
@@ -206,28 +219,32 @@
         raise TypeError(f'"{message!r}" is not a message of the core')
 
     def now(self):
-        """Returns monotonic seconds."""
+        """Returns the monotonic time in seconds."""
         return time.monotonic()
 
     def event(self, kind, subject, detail=''):
-        """Records an event of the time line and logs it."""
+        """Appends an event to the timeline and logs it."""
         self.event_buffer.add(kind, subject, detail)
         logger.bind(subject=subject).debug('{} {}', kind, detail)
 
     async def call_store(self, request):
-        """Runs a store request without blocking the loop."""
+        """Executes a store request in a worker thread."""
         self.metrics.store_calls.labels(type(request).__name__).inc()
         return await self._loop.run_in_executor(
             self.executor, self.store.execute, request
         )
 
     async def run_program(self, program, handle=None):
-        """Runs a decision program to its end.
+        """Drives a sans-I/O program until it returns.
 
         Args:
-            program: A generator of requests.
-            handle: Async function that serves its requests, or None if
-                they are all for the store and the clock.
+            program: Generator that yields effects and is sent the reply
+                to each.
+            handle: Async function that performs an effect, or None if
+                the program uses only the store and the clock.
+
+        Returns:
+            The return value of the program.
         """
         handle = handle or self.run_effect
         reply = None
@@ -239,17 +256,21 @@
             reply = await handle(request)
 
     async def run_effect(self, request):
-        """Runs one request of a decision program."""
+        """Performs a clock or store effect of a sans-I/O program."""
         if isinstance(request, effects.Clock):
             return effects.Time(self.now(), time.time())
         return await self.call_store(request)
 
     async def run_blocking(self, function, *args):
-        """Runs a blocking function in a thread of the core's own."""
+        """Runs a blocking function in a worker thread of the core."""
         return await self._loop.run_in_executor(self.executor, function, *args)
 
     def find_address(self, data_centre, team):
-        """Answers which instance a client should use."""
+        """Returns the instance that a client should use.
+
+        Raises:
+            Unready: If no instance accepts new work.
+        """
         now = self.now()
         usable = self.members.usable(now)
         found = addresses.answer(
@@ -260,11 +281,11 @@
         return found
 
     def not_gone(self):
-        """Returns known instances that are not certainly gone."""
+        """Returns known instances whose process may still be running."""
         return self.departures.remaining(self.members.everyone(), self.now())
 
     def unready_reason(self):
-        """Returns why no new work is taken, or an empty string."""
+        """Returns why new work is refused, or an empty string."""
         now = self.now()
         if not self.accepting:
             return 'this instance is stopping'
@@ -277,14 +298,21 @@
         return ''
 
     def is_cut_off(self):
-        """Tells whether new work is refused for lack of contact."""
+        """Tells whether new work is refused for lack of contact.
+
+        An instance without recent contact may hold an outdated
+        configuration. It serves on if ``when_cut_off`` is ``serve``.
+        """
         if self.cfg.when_cut_off == 'serve':
             return False
         data_centres = membership.staffed_data_centres(self.not_gone())
         return self.freshness.is_cut_off(data_centres, self.now())
 
     def leave(self):
-        """Announces that this instance is leaving; it still serves."""
+        """Announces to all peers that this instance is leaving.
+
+        It still serves; see ``drain``.
+        """
         self._wait(self._leave(), REQUEST_TIMEOUT_S)
 
     async def _leave(self):
@@ -293,7 +321,14 @@
         await self.heartbeats.announce()
 
     def drain(self):
-        """Serves on until no client is sent here and all jobs ended."""
+        """Waits until clients have moved on and all jobs have ended.
+
+        Clients may hold this instance's address for as long as an address
+        answer is valid, and peers learn of the leave within two
+        heartbeats, so new work is accepted for that long. It is accepted
+        on until no job runs or ``drain_limit_s`` more have passed, and
+        refused from then on.
+        """
         timing = self.cfg.timing
         grace_s = timing.answer_valid_s + 2 * timing.beat_s
         time.sleep(grace_s)
@@ -305,7 +340,7 @@
             time.sleep(DRAIN_POLL_S)
 
     def close(self):
-        """Releases what is held and stops all tasks."""
+        """Stops all tasks, releases leases and closes all connections."""
         self._wait(self._close(), REQUEST_TIMEOUT_S)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(timeout=REQUEST_TIMEOUT_S)
@@ -328,7 +363,7 @@
 
 
 def _copy_outcome(task, fut):
-    """Gives a task's outcome to the thread that waits for it."""
+    """Copies the outcome of a task to the future of a waiting thread."""
     if fut.cancelled():
         return
     if task.cancelled():
@@ -339,14 +374,14 @@
         fut.set_result(task.result())
 
 
-async def _log_failure(run):
-    """Logs what ended a task before the task ends."""
+async def _log_failure(coroutine):
+    """Logs an exception that ends a background task."""
     try:
-        await run
+        await coroutine
     except asyncio.CancelledError:
         raise
     except Exception:
-        logger.exception('a task of the core ended')
+        logger.exception('a background task failed and will not run again')
         raise
 
 
--- a/dandelionwinch/daemon/messages.py
+++ b/dandelionwinch/daemon/messages.py
@@ -1,11 +1,11 @@
-"""Messages from the listeners' threads to the core."""
+"""Messages that worker threads send to the core, and the replies."""
 
 import attrs
 
 
 @attrs.frozen
 class Admit:
-    """Asks to take a job."""
+    """Requests admission of a job."""
 
     job_id: str
     team: str
@@ -14,10 +14,11 @@
 
 @attrs.frozen
 class PlaceCompletion:
-    """Asks where a completion runs.
+    """Requests the upstreams of a completion.
 
     Attributes:
-        exclude: Upstreams that failed this job before.
+        job: The completion request.
+        exclude: Names of upstreams that already failed this job.
     """
 
     job_id: str
@@ -27,11 +28,17 @@
 
 @attrs.frozen
 class Placement:
-    """Reply: where a completion runs.
+    """Reply: the upstreams that run a completion.
 
     Attributes:
-        prefill_address: Upstream that prefills, or empty if the decoding
-            upstream does so itself.
+        upstream: Name of the decode upstream.
+        address: Address of the decode upstream.
+        prefill_upstream: Name of the prefill upstream, or empty if the
+            decode upstream prefills the prompt itself.
+        prefill_address: Address of the prefill upstream, or empty.
+        token_gap_s: Target time between two tokens of the model.
+        first_token_s: Expected time to first token, at least the
+            model's target.
     """
 
     upstream: str
@@ -44,7 +51,7 @@
 
 @attrs.frozen
 class PlaceService:
-    """Asks which upstreams can take a call of a plain service."""
+    """Requests the upstreams that can take a call of a plain service."""
 
     job_id: str
     service: str
@@ -52,7 +59,7 @@
 
 @attrs.frozen
 class ServicePlacement:
-    """Reply: the service's rules and its upstreams, best first."""
+    """Reply: the service's settings and its upstreams, best first."""
 
     service: object
     upstreams: tuple
@@ -60,7 +67,7 @@
 
 @attrs.frozen
 class UpstreamFailed:
-    """Tells that an upstream failed a job."""
+    """Reports that an upstream failed a job."""
 
     job_id: str
     upstream: str
@@ -69,7 +76,7 @@
 
 @attrs.frozen
 class Retry:
-    """Asks whether a retry is within the budget."""
+    """Requests a retry; the reply tells whether the budget allows it."""
 
     job_id: str
     target: str
@@ -77,11 +84,13 @@
 
 @attrs.frozen
 class Finish:
-    """Tells how a job ended.
+    """Reports the end of a job.
 
     Attributes:
         state: ``done``, ``refused``, ``unknown`` or ``abandoned``.
-        tokens: Output of the job, if its whole answer was delivered.
+        code: Code of the error, or empty.
+        tokens: Output tokens, or 0 unless the client got the complete
+            answer.
     """
 
     job_id: str
@@ -92,21 +101,21 @@
 
 @attrs.frozen
 class OpenClaim:
-    """Asks for the right to send a call that may run only once."""
+    """Requests a claim on the key of a call that may run only once."""
 
     opening: object
 
 
 @attrs.frozen
 class CloseClaim:
-    """Tells what became of a claimed call."""
+    """Records the outcome of a claimed call."""
 
     close: object
 
 
 @attrs.frozen
 class FindAddress:
-    """Asks which instance a client should use."""
+    """Requests the address of the instance that a client should use."""
 
     data_centre: str
     team: str
@@ -114,11 +123,11 @@
 
 @attrs.frozen
 class RunStatement:
-    """A statement of the operators' language."""
+    """Runs a statement of the operators' language."""
 
     text: str
 
 
 @attrs.frozen
 class CheckReadiness:
-    """Asks whether the instance takes new work."""
+    """Requests the reason why no new work is accepted; empty if ready."""
