--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -43,7 +43,7 @@
         self._scanned_at = {}
 
     def coroutines(self):
-        """Returns the coroutines of this task."""
+        """Returns the coroutines of the background tasks."""
         cfg = self._core.cfg.claims
         rng = self._core.rng
         yield _periodic.every(cfg.resolve_s, self._resolve_all, rng)
--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -15,7 +15,7 @@
         self._written_at = float('-inf')
 
     def coroutines(self):
-        """Returns the coroutines of this task."""
+        """Returns the coroutines of the background tasks."""
         period_s = self._core.cfg.timing.earnings_s
         yield _periodic.every(period_s, self._write_if_due, self._core.rng)
 
--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -1,16 +1,26 @@
-"""Heartbeats, gossip and what rides on them."""
+"""Heartbeats between instances, and the state that they carry."""
 
 import asyncio
 
 from dandelionwinch.daemon import _periodic
 from dandelionwinch import timeline
 
+# Load reports in a digest for another data centre, drawn at random.
 MAX_LOADS_ACROSS_DATA_CENTRES = 64
 RATE_MAX_AGE_S = 10.0
 
 
 class Heartbeats:
-    """Exchanges digests with peers and reads the platform's list."""
+    """Exchanges digests with peers and reads the platform's list.
+
+    A digest carries heartbeats, load reports, use of team limits, demand
+    by pool, the settings revision and the time of the hybrid logical
+    clock, so that no extra calls are needed to share them.
+
+    Attributes:
+        demands: By peer, the time at which its demand was received and a
+            mapping of pool to rates.
+    """
 
     def __init__(self, core):
         self._core = core
@@ -19,7 +29,7 @@
         self._sent_rates = {}
 
     def coroutines(self):
-        """Returns the coroutines of this task."""
+        """Returns the coroutines of the background tasks."""
         timing = self._core.cfg.timing
         rng = self._core.rng
         yield _periodic.every(timing.beat_s, self._send_heartbeats, rng)
@@ -48,7 +58,7 @@
         await asyncio.gather(*(self._exchange(a) for a in addresses))
 
     async def announce(self):
-        """Tells every live peer of a change at once."""
+        """Sends a heartbeat to every live peer at once."""
         core = self._core
         core.members.tick(core.now())
         core.members.me.revision = core.documents.revision
@@ -61,7 +71,7 @@
 
     async def _exchange(self, address):
         core = self._core
-        asked_at = core.now()
+        requested_at = core.now()
         data_centre = core.members.data_centre_at(address)
         reply = await core.peers.exchange_digests(
             address, self.build_digest(address, data_centre)
@@ -70,14 +80,15 @@
             return
         await self.receive(address, reply)
         if reply.revision <= core.documents.revision:
-            core.freshness.heard(reply.sender.data_centre, asked_at, reply)
+            core.freshness.heard(reply.sender.data_centre, requested_at, reply)
 
     def build_digest(self, peer, data_centre):
-        """Makes the digest for a peer.
+        """Builds the digest for a peer.
 
         Args:
-            peer: Key under which identifiers that the peer should
-                introduce are remembered.
+            peer: Address of the peer. Identifiers that its last digest
+                used and that are unknown here go back to it, so that it
+                introduces them.
             data_centre: Data centre of the peer, or None if unknown.
         """
         core = self._core
@@ -110,7 +121,12 @@
         return digest
 
     async def receive(self, peer, digest):
-        """Takes in a digest, fetching settings if it has newer ones."""
+        """Merges a digest and fetches settings if the peer has newer ones.
+
+        Args:
+            peer: Address of the peer.
+            digest: The digest.
+        """
         core = self._core
         now = core.now()
         timestamp = timeline.Timestamp(digest.physical_us, digest.logical)
@@ -132,7 +148,7 @@
             await core.settings.fetch_from(address)
 
     def peer_rates(self, now):
-        """Returns what peers sent of late, in tokens per second by pool."""
+        """Returns what peers recently sent by pool, in tokens per second."""
         total = {}
         for at, sent in self._sent_rates.values():
             if now - at < RATE_MAX_AGE_S:
@@ -141,7 +157,7 @@
         return total
 
     async def handle(self, digest):
-        """Answers a peer's digest with the own one."""
+        """Merges a peer's digest and returns the one to reply with."""
         await self.receive(digest.sender.peer_address, digest)
         return self.build_digest(
             digest.sender.peer_address, digest.sender.data_centre
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of upstreams, and holds on upstreams that are to change."""
+"""Load reports, holds and backoff of upstreams."""
 
 import asyncio
 
@@ -17,7 +17,11 @@
 
 @attrs.define
 class _StoredReport:
-    """The newest report of an upstream, as it came from whoever polled."""
+    """The newest report of an upstream, polled here or by a peer.
+
+    Attributes:
+        made_at: Time before the poll was sent, on the local clock.
+    """
 
     made_at: float
     message: peer_pb2.UpstreamLoad
@@ -30,10 +34,15 @@
 
 
 class LoadReports:
-    """Polls some upstreams and learns of the others from peers.
+    """Polls some upstreams and receives reports on the others from peers.
 
     Each upstream is polled by one instance of its data centre, chosen by
-    rendezvous hashing, so that polling grows with upstreams only.
+    rendezvous hashing, so that the number of polls does not grow with
+    the number of instances.
+
+    A hold keeps new jobs off an upstream while its role changes or it
+    drains. Backoff gives upstreams of plain services that failed the
+    lowest preference for a while.
     """
 
     def __init__(self, core):
@@ -43,7 +52,7 @@
         self._backoffs = {}
 
     def coroutines(self):
-        """Returns the coroutines of this task."""
+        """Returns the coroutines of the background tasks."""
         period_s = self._core.cfg.timing.load_s
         yield _periodic.every(period_s, self._poll_all, self._core.rng)
 
@@ -73,13 +82,13 @@
         return best.name
 
     async def poll(self, upstream):
-        """Asks an upstream for its load and notes the report.
+        """Polls an upstream and records the report.
 
         Returns:
-            The Load, or None if it did not answer.
+            The Load, or None if the upstream did not answer.
         """
         core = self._core
-        asked_at = core.now()
+        requested_at = core.now()
         load = await core.run_blocking(core.upstreams.load, upstream.address)
         message = peer_pb2.UpstreamLoad(upstream=upstream.name)
         if load is None:
@@ -93,15 +102,17 @@
             message.away = load.away
             message.order_id = load.order_id
             message.epoch = load.epoch
-        self._record(message, asked_at)
+        self._record(message, requested_at)
         return load
 
     def merge(self, messages, now):
-        """Takes in reports that a peer passed on."""
+        """Records reports that came with a peer's digest."""
         for message in messages:
             self._record(message, now - message.age_s)
 
     def _record(self, message, made_at):
+        # A report that took two paths through peers differs in age by
+        # rounding, so it counts as newer only by more than 1 ms.
         held = self._reports.get(message.upstream)
         if held is not None and made_at <= held.made_at + 0.001:
             return
@@ -127,7 +138,12 @@
         )
 
     def recent(self, now, limit=None):
-        """Returns recent reports with their ages, for a digest."""
+        """Yields the recent reports with their ages set, for a digest.
+
+        Args:
+            now: Time in seconds.
+            limit: Largest number of reports, drawn at random, or None.
+        """
         fresh = [
             report
             for report in self._reports.values()
@@ -140,11 +156,19 @@
             yield report.message
 
     def latest(self, upstream):
-        """Returns the newest report of an upstream and its time, or None."""
+        """Returns the newest report of an upstream with its time, or None."""
         return self._reports.get(upstream)
 
     def hold(self, request):
-        """Places nothing new on an upstream for a time."""
+        """Starts, renews or releases a hold on an upstream.
+
+        Args:
+            request: A HoldRequest.
+
+        Returns:
+            A HoldReply with the number of jobs that this instance still
+            has on the upstream.
+        """
         core = self._core
         key = (request.upstream, request.order_id)
         if request.release:
@@ -158,7 +182,7 @@
         return peer_pb2.HoldReply(jobs=jobs, instance=core.name)
 
     def is_held(self, upstream):
-        """Tells whether an upstream is held."""
+        """Tells whether a hold keeps new jobs off an upstream."""
         return any(name == upstream for name, _order in self._holds)
 
     def _mark_held(self, upstream):
@@ -174,18 +198,18 @@
             self._core.event('upstream.hold_ended', key[0], key[1])
 
     def back_off(self, upstream, now):
-        """Leaves a service's upstream alone for a while."""
+        """Starts the backoff of a failed upstream, or doubles it."""
         backoff = self._backoffs.setdefault(upstream, _Backoff())
         wait_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**backoff.failures)
         backoff.failures = min(backoff.failures + 1, 10)
         backoff.until = now + wait_s
 
     def reset_backoff(self, upstream):
-        """Notes that a service's upstream answered well."""
+        """Ends the backoff of an upstream that completed a job."""
         self._backoffs.pop(upstream, None)
 
     def is_unavailable(self, upstream, now):
-        """Tells whether an upstream takes no new work at present."""
+        """Tells whether an upstream is held or in backoff."""
         backoff = self._backoffs.get(upstream)
         backing_off = backoff is not None and now < backoff.until
         return backing_off or self.is_held(upstream)
--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -1,20 +1,22 @@
-"""Asks the usual decider of the data centre where a job runs."""
+"""Sends placement requests to the placement owner of the data centre."""
 
 from dandelionwinch.daemon import _wire
 from dandelionwinch.peers import peer_pb2
 from dandelionwinch import placement
 
 PLACE_TIMEOUT_S = 0.25
-# How long a decider that did not answer is left alone.
+# Jobs are placed locally for this long after the owner failed to reply.
 OWNER_BACKOFF_S = 2.0
 MAX_EXCLUDED = 32
 
 
 class PlacementRouter:
-    """Places jobs here or at the usual decider.
+    """Places jobs locally or through the placement owner.
 
-    The decider knows all that was sent to the upstreams near it. It is
-    asked for quality only: without its answer the job is placed here.
+    The owner of a data centre and model places the jobs of all instances
+    there, so its load estimates include every job that was sent to the
+    upstreams nearby. This only improves the placement: without a reply
+    from the owner the job is placed locally.
     """
 
     def __init__(self, core):
@@ -22,7 +24,14 @@
         self._backoff_until = {}
 
     async def choose(self, query):
-        """Returns the placement.Choice or Refusal for a job."""
+        """Chooses the upstreams of a job.
+
+        Args:
+            query: A placement.Query.
+
+        Returns:
+            A placement.Choice or placement.Refusal.
+        """
         core = self._core
         owner = self._remote_owner(query.model)
         if owner is None:
@@ -45,20 +54,20 @@
         return core.scheduler.choose(query)
 
     def _remote_owner(self, model):
-        """Returns the decider, None if that is this instance."""
+        """Returns the owner, or None to place the job locally."""
         core = self._core
         now = core.now()
-        near = {
+        nearby = {
             known.name: known
             for known in core.members.usable(now)
             if known.member.data_centre == core.data_centre
         }
-        if not near:
+        if not nearby:
             return None
-        name = placement.usual_decider(near, core.data_centre, model)
+        name = placement.usual_decider(nearby, core.data_centre, model)
         if name == core.name or self._backoff_until.get(name, now) > now:
             return None
-        return near[name]
+        return nearby[name]
 
     def _request(self, query):
         quarantined = self._core.scheduler.estimates.quarantined(
@@ -79,7 +88,7 @@
         return all(catalog.get('upstream', name) for name in names)
 
     def handle(self, request):
-        """Answers a peer that asks where a job runs."""
+        """Places a job for a peer and returns the PlaceReply."""
         query = placement.Query(
             request.model,
             request.prompt_tokens,
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -32,7 +32,7 @@
         self._change_count = 0
 
     def coroutines(self):
-        """Returns the coroutines of this task."""
+        """Returns the coroutines of the background tasks."""
         yield _periodic.every(FAST_POLL_S, self._poll, self._core.rng)
 
     async def load_initial(self):
@@ -77,12 +77,12 @@
 
     async def _poll_store(self):
         core = self._core
-        asked_at = core.now()
-        self._polled_at = asked_at
+        requested_at = core.now()
+        self._polled_at = requested_at
         fetched = await core.run_program(revisions.fetch(self._store_revision))
         if isinstance(fetched, revisions.Fetched):
             self._store_revision = fetched.store_revision
-            core.freshness.store_read(asked_at)
+            core.freshness.store_read(requested_at)
             if self.adopt(fetched.revision, fetched.documents, 'store'):
                 await core.heartbeats.announce()
             elif core.documents.revision == 0 and core.cfg.catalog_file:
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -25,7 +25,7 @@
         self._executors = {}
 
     def coroutines(self):
-        """Returns the coroutines of this task."""
+        """Returns the coroutines of the background tasks."""
         timing = self._core.cfg.timing
         rng = self._core.rng
         period_s = timing.lease_s / orders.STEPS_PER_LEASE
@@ -187,7 +187,7 @@
 
     async def _hold(self, upstream_name, order_id):
         core = self._core
-        asked_at = core.now()
+        requested_at = core.now()
         request = peer_pb2.HoldRequest(
             upstream=upstream_name, order_id=order_id, ttl_s=HOLD_TTL_S
         )
@@ -195,7 +195,9 @@
         replies = await core.peers.broadcast('Hold', request)
         replies[core.name] = own_reply
         reports = {
-            name: orders.DrainReport(name, reply.jobs, asked_at, HOLD_TTL_S)
+            name: orders.DrainReport(
+                name, reply.jobs, requested_at, HOLD_TTL_S
+            )
             for name, reply in replies.items()
             if reply is not None
         }
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -212,7 +212,7 @@
             )
         self._check_instance(statement)
         unconfirmed_holds = await self._hold_before_commit(statement)
-        asked_at = core.now()
+        requested_at = core.now()
         try:
             revision = await core.settings.change(
                 lambda documents: language.edits_of(statement, documents)
@@ -224,7 +224,7 @@
         core.event('command.committed', f'revision {revision}', str(statement))
         if isinstance(statement, language.Undrain):
             await core.shards.end_drain(statement.name)
-        return await self._wait_for_acceptance(revision, asked_at)
+        return await self._wait_for_acceptance(revision, requested_at)
 
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
@@ -261,7 +261,7 @@
             'message': f'{text} ({exc.message})',
         }
 
-    async def _wait_for_acceptance(self, revision, asked_at):
+    async def _wait_for_acceptance(self, revision, requested_at):
         core = self._core
         data_centres = membership.staffed_data_centres(core.not_gone())
         watch = revisions.AcceptanceWatch(
@@ -271,13 +271,13 @@
             now = core.now()
             core.members.me.revision = core.documents.revision
             verdict = watch.observe(core.not_gone(), now)
-            if verdict.accepted or now - asked_at > ACCEPT_TIMEOUT_S:
+            if verdict.accepted or now - requested_at > ACCEPT_TIMEOUT_S:
                 break
             await asyncio.sleep(ACCEPT_POLL_S)
         return {
             'accepted': verdict.accepted,
             'revision': revision,
-            'seconds': round(core.now() - asked_at, 3),
+            'seconds': round(core.now() - requested_at, 3),
             'unconfirmed': list(verdict.missing),
             'message': verdict.reason,
         }
