--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -111,8 +111,8 @@
             self._record(message, now - message.age_s)
 
     def _record(self, message, made_at):
-        # A report that took two paths through peers differs in age by
-        # rounding, so it counts as newer only by more than 1 ms.
+        # Ignores reports that are not newer by more than 1 ms, such as
+        # copies of the stored one that peers pass on.
         held = self._reports.get(message.upstream)
         if held is not None and made_at <= held.made_at + 0.001:
             return
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -1,4 +1,4 @@
-"""Jobs of this instance: admission, placement, retries, endings."""
+"""Admission, placement, retries and completion of this instance's jobs."""
 
 import zlib
 
@@ -10,13 +10,22 @@
 from dandelionwinch import settings
 
 MAX_WAIT_S = 5.0
+# Traffic that a job causes on a link between regions.
 BYTES_PER_PROMPT_TOKEN = 6
 BYTES_PER_OUTPUT_TOKEN = 200
 BYTES_PER_GIGABYTE = 1e9
 
 
 class Scheduler:
-    """Owns the running jobs, the limits and the placer."""
+    """Admits, places, retries and finishes jobs.
+
+    Attributes:
+        job_history: Running and recent jobs.
+        admission: Limits of teams and of the instance.
+        estimates: Load estimate of each model upstream.
+        placer: Chooses upstreams by the estimates.
+        trends: Demand by name of the pool.
+    """
 
     def __init__(self, core):
         self._core = core
@@ -29,11 +38,11 @@
         self._demands = {}
 
     def running_jobs(self):
-        """Returns the number of jobs being served."""
+        """Returns the number of running jobs."""
         return self.admission.jobs
 
     def update_upstreams(self, catalog):
-        """Takes over the upstreams of a new configuration."""
+        """Sets the model upstreams of a new configuration."""
         self.estimates.set_upstreams(
             _load_estimate(upstream, catalog.data_centre_of(upstream))
             for upstream in catalog.all('upstream')
@@ -41,7 +50,15 @@
         )
 
     def admit(self, message):
-        """Takes a job or raises why it is not taken."""
+        """Admits a job.
+
+        Args:
+            message: An Admit message.
+
+        Raises:
+            Unready: If this instance accepts no new work.
+            DandelionwinchError: If a limit refuses the job.
+        """
         core = self._core
         reason = core.unready_reason()
         if reason:
@@ -71,7 +88,18 @@
         return sum(self._team(name).weight for name in names)
 
     async def place(self, message):
-        """Chooses the upstreams of a completion."""
+        """Chooses the upstreams of a completion.
+
+        Args:
+            message: A PlaceCompletion message.
+
+        Returns:
+            A Placement.
+
+        Raises:
+            NotFound: If the model does not exist.
+            NoUpstream: If no upstream can start the job in time.
+        """
         core = self._core
         job = message.job
         model = core.catalog.get('model', job.model)
@@ -96,7 +124,7 @@
         return self._placement_reply(choice, model)
 
     def choose(self, query):
-        """Decides here where a job of this data centre runs.
+        """Places a job of this data centre by the local load estimates.
 
         Returns:
             A placement.Choice or placement.Refusal.
@@ -170,7 +198,10 @@
         return trend
 
     def _record_refused_demand(self, pools, job, now):
-        """Counts a refused job where it would have run."""
+        """Adds a refused job to the demand of the pool preferred for it.
+
+        Without this a full pool would show no demand beyond its capacity.
+        """
         nearby = [
             p for p in pools if p.data_centre == self._core.data_centre
         ] or pools
@@ -192,7 +223,18 @@
         )
 
     def place_service(self, message):
-        """Lists the upstreams of a plain service, best first."""
+        """Ranks the upstreams of a plain service.
+
+        Args:
+            message: A PlaceService message.
+
+        Returns:
+            A ServicePlacement with the best upstream first.
+
+        Raises:
+            NotFound: If the service does not exist.
+            NoUpstream: If no upstream takes work.
+        """
         core = self._core
         service = core.catalog.get('service', message.service)
         if service is None:
@@ -207,7 +249,7 @@
                     continue
                 if core.load_reports.is_held(upstream.name):
                     continue
-                # One that failed of late is a last resort, not ruled out.
+                # An upstream in backoff is the last resort, not excluded.
                 unavailable = core.load_reports.is_unavailable(
                     upstream.name, now
                 )
@@ -234,7 +276,7 @@
         return messages.ServicePlacement(service, upstreams)
 
     def upstream_failed(self, message):
-        """Leaves an upstream alone for a while after a failure."""
+        """Records a failure of an upstream and starts its backoff."""
         core = self._core
         now = core.now()
         self.estimates.failed(message.upstream, now)
@@ -254,7 +296,7 @@
         return budget
 
     def retry(self, message):
-        """Tells whether a retry is within the budget of its target."""
+        """Takes a retry from the budget of its target; False if it is spent."""
         allowed = self._retry_budget(message.target).spend()
         if allowed:
             self._core.metrics.retries.inc()
@@ -266,7 +308,7 @@
         return allowed
 
     def finish(self, message):
-        """Notes how a job ended and books what it earned."""
+        """Records the end of a job and, if it was delivered, its earnings."""
         core = self._core
         record = self.job_history.end(
             message.job_id, message.state, message.code, core.now()
@@ -286,12 +328,16 @@
         core.event(f'job.{message.state}', record.id, message.code)
 
     def demands(self, now):
-        """Returns the demand placed here by pool, for the peers."""
+        """Returns the rates of demand at this instance by pool, for peers."""
         return {pool: trend.rates(now) for pool, trend in self.trends.items()}
 
 
 def _transfer_cost_s(link, query):
-    """Returns what the way of a job between regions costs, in seconds."""
+    """Returns the cost of a job's traffic between regions, in seconds.
+
+    The price of the traffic is added in seconds of waiting that it is
+    worth; see ``settings.Link``.
+    """
     size = query.prompt_tokens * BYTES_PER_PROMPT_TOKEN
     size += query.output_tokens * BYTES_PER_OUTPUT_TOKEN
     return size / link.bytes_per_s + link.price * size / BYTES_PER_GIGABYTE
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -1,4 +1,4 @@
-"""Leads shards of upstreams: leases, orders and role changes."""
+"""Shards of upstreams: leases, role change orders and drain holds."""
 
 import asyncio
 import time
@@ -10,12 +10,19 @@
 from dandelionwinch import settings
 from dandelionwinch import utils
 
+# A hold ends by itself if the instance that asked for it stops renewing it.
 HOLD_TTL_S = 10.0
 DEMAND_MAX_AGE_S = 10.0
 
 
 class Shards:
-    """Owns the leases that this instance holds or would take."""
+    """Holds shard leases and carries out role changes under them.
+
+    A shard has the model upstreams of one pool. For each shard one usable
+    instance, chosen by rendezvous hashing among those of the pool's data
+    centre, tries to acquire the lease. Its holder alone sends orders to
+    the shard's upstreams.
+    """
 
     def __init__(self, core):
         self._core = core
@@ -37,11 +44,11 @@
         return [p for p in self._core.catalog.all('pool') if p.model]
 
     def authority(self, shard_name):
-        """Returns the Authority over a shard, if there is one."""
+        """Returns the orders.Authority of a shard, or None."""
         return self._authorities.get(shard_name)
 
     def frozen_reason(self, upstream_name):
-        """Returns why an upstream takes no orders now, or an empty text."""
+        """Returns why no order is sent to an upstream, or an empty string."""
         return self._frozen_reasons.get(upstream_name, '')
 
     async def _renew_leases(self):
@@ -208,7 +215,8 @@
         core = self._core
 
         def send():
-            # The lease is checked last, right before the send.
+            # Checked in the worker thread, right before sending, as the
+            # lease may end while the call waits for a thread.
             if time.monotonic() >= authority.until:
                 return None
             return core.upstreams.order(upstream.address, order)
@@ -261,10 +269,12 @@
         ]
 
     async def hold_for_drain(self, upstream_name):
-        """Holds an upstream everywhere at once, also without the store.
+        """Puts a hold on an upstream at all live instances, without the store.
+
+        It is renewed until the drain is stored or taken back.
 
         Returns:
-            Names of the live instances that did not confirm it.
+            Names of the live instances that did not confirm the hold.
         """
         self._drain_holds[upstream_name] = self._core.now()
         held = await self._hold(upstream_name, f'drain:{upstream_name}')
@@ -272,7 +282,7 @@
         return [k.name for k in live if k.name not in held.reports]
 
     async def end_drain(self, upstream_name):
-        """Takes the hold of a drain back."""
+        """Releases the hold of a drain."""
         self._drain_holds.pop(upstream_name, None)
         await self._release_hold(upstream_name, f'drain:{upstream_name}')
 
@@ -284,13 +294,14 @@
                 or upstream.state is not settings.UpstreamState.ACTIVE
             )
             if stored:
-                # Every instance follows the stored state from now on.
+                # The stored state keeps new jobs off the upstream at
+                # every instance, so the hold is not needed any more.
                 del self._drain_holds[name]
             else:
                 await self.hold_for_drain(name)
 
     async def release_all(self):
-        """Releases every shard that is held."""
+        """Releases the leases of all shards that this instance holds."""
         for name, authority in self._authorities.items():
             if authority.shard is not None:
                 await self._core.run_program(authority.release())
