--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of calls that may run only once: batching and resolving."""
+"""Claims on calls that may run only once: batched writes, resolution."""
 
 import asyncio
 
@@ -21,18 +21,24 @@
 
 @attrs.define
 class _PendingBatch:
-    """Changes that wait for the next write of a bucket."""
+    """Claim changes for the next write of a bucket.
+
+    Attributes:
+        items: Pairs of a change and the future of its result.
+        task: Task that writes the batches, or None.
+    """
 
     items: list = attrs.field(factory=list)
     task: object = None
 
 
 class Claims:
-    """Writes claims in batches and settles those without an outcome.
+    """Writes claims in batches and resolves those without an outcome.
 
-    Each bucket has a usual owner, to whom others forward their changes
-    so that writes batch. This is for cost only: any instance may write
-    any bucket, and compare-and-swap keeps it safe.
+    Each bucket has an owner, chosen by rendezvous hashing, to which other
+    instances forward their changes so that one store write carries many.
+    This only saves store writes: any instance may write any bucket, and
+    compare-and-swap keeps that safe.
     """
 
     def __init__(self, core):
@@ -50,20 +56,29 @@
         yield _periodic.every(BACKLOG_RETRY_S, self._retry_backlog, rng)
 
     async def open(self, opening):
-        """Asks for the right to send a call once."""
+        """Opens a claim.
+
+        Args:
+            opening: A claims.Open.
+
+        Returns:
+            The result: claims.Granted, or a reason why not.
+        """
         result = await self._route(opening)
         if isinstance(result, claims.Unsettled):
-            # The claim may stand although the call is refused: undo it.
+            # The claim may have been written although the call is
+            # refused, so it is closed as not run.
             self._backlog.append(
                 claims.Close(opening.key, opening.token, claims.State.NOT_RUN)
             )
         return result
 
     async def close_claim(self, close):
-        """Records what became of a call; repeats until it is written.
+        """Records the outcome of a call and retries until it is written.
 
-        The caller waits only a moment: the outcome is certain, and a
-        claim that stays open for a while is merely looked into.
+        The caller waits ``CLOSE_WAIT_S`` at most. The outcome is certain
+        by then, and the only effect of a claim that stays open for longer
+        is that it may be resolved through the service.
         """
         self._core.event('claim.closed', close.key, str(close.state))
         task = asyncio.create_task(self._close_or_queue(close))
@@ -82,7 +97,7 @@
                 self._backlog.append(close)
 
     async def flush(self):
-        """Tries once to write what is not written yet."""
+        """Tries once to write the outcomes that are not written yet."""
         await self._retry_backlog()
 
     def _owner(self, bucket):
@@ -111,12 +126,21 @@
                 return _wire.load_result(reply.result)
         result = await self.write(bucket, mutation)
         if owner is not None and isinstance(result, claims.Unreached):
-            # The silent owner may still write it.
+            # The owner gave no reply in time but may still write it.
             return claims.Unsettled()
         return result
 
     async def write(self, bucket, mutation):
-        """Adds a change to the next write of a bucket."""
+        """Adds a change to the next write of a bucket.
+
+        Args:
+            bucket: Store key of the bucket.
+            mutation: A claims.Open or claims.Close.
+
+        Returns:
+            The result of the change; claims.Unreached if too many changes
+            of the bucket are waiting.
+        """
         pending = self._pending.setdefault(bucket, _PendingBatch())
         if len(pending.items) >= MAX_PENDING_PER_BUCKET:
             return claims.Unreached()
@@ -236,7 +260,7 @@
         return service_adapter.CannotSay()
 
     async def rows(self):
-        """Returns all claims, or None if the store was not reached."""
+        """Returns all claims in the store, or None if it was not reached."""
         reply = await self._core.call_store(effects.Scan('claims/'))
         if not isinstance(reply, effects.Scanned):
             return None
--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -1,13 +1,18 @@
-"""Books the cut of delivered jobs and writes it in batches."""
+"""Records the earnings of delivered jobs and writes them in batches."""
 
 from dandelionwinch.daemon import _periodic
 from dandelionwinch import earnings
 
+# Below 1, as jitter shortens a period by up to 10 percent.
 DUE_RATIO = 0.9
 
 
 class Earnings:
-    """Owns the ledger of this process."""
+    """Keeps the ledger of this process and writes it periodically.
+
+    Attributes:
+        ledger: The earnings.Ledger.
+    """
 
     def __init__(self, core):
         self._core = core
@@ -20,7 +25,12 @@
         yield _periodic.every(period_s, self._write_if_due, self._core.rng)
 
     def record_job(self, record, tokens):
-        """Books a job whose whole answer reached its client."""
+        """Records a job whose complete answer reached its client.
+
+        Args:
+            record: The jobs.JobRecord.
+            tokens: Output tokens of the answer.
+        """
         self.ledger.book(record.id, record.team, tokens)
 
     async def _write_if_due(self):
@@ -34,5 +44,5 @@
             await self.write()
 
     async def write(self):
-        """Writes the totals if they changed."""
+        """Writes the totals to the store if they changed."""
         await self._core.run_program(self.ledger.write())
--- a/dandelionwinch/daemon/_metrics.py
+++ b/dandelionwinch/daemon/_metrics.py
@@ -1,10 +1,10 @@
-"""Metrics of one instance."""
+"""Prometheus metrics of one instance."""
 
 import prometheus_client
 
 
 class Metrics:
-    """Counters and gauges, in a registry of this instance's own."""
+    """Metrics in a registry that belongs to this instance alone."""
 
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
@@ -49,5 +49,5 @@
         )
 
     def exposition(self):
-        """Returns the metrics in Prometheus' text format."""
+        """Returns the metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -1,4 +1,4 @@
-"""The listener for peers and the calls to them, by grpclib."""
+"""Calls between peers, served and made with grpclib."""
 
 import asyncio
 import hmac
@@ -26,13 +26,13 @@
 
 
 def split_address(address):
-    """Splits an address into its IP number and port."""
+    """Returns the IP address, without brackets, and the port."""
     host, _, port = address.rpartition(':')
     return host.strip('[]'), int(port)
 
 
 class Peers:
-    """Serves peers and calls them; every call has a deadline."""
+    """Serves calls of peers and calls them; every call has a timeout."""
 
     def __init__(self, core):
         self._core = core
@@ -40,7 +40,7 @@
         self._server = None
 
     async def start(self):
-        """Starts to listen for peers."""
+        """Starts listening for peers."""
         self._server = server.Server([_PeerService(self._core)])
         host, port = split_address(self._core.cfg.instance.peer_address)
         context = _server_context(self._core.cfg.security)
@@ -55,15 +55,21 @@
             self._server.close()
 
     async def exchange_digests(self, address, digest):
-        """Exchanges digests; returns None if the peer did not answer."""
+        """Sends a digest; returns the peer's, or None without a reply."""
         return await self.call(address, 'Beat', digest, HEARTBEAT_TIMEOUT_S)
 
     async def call(self, address, method, request, timeout_s=CALL_TIMEOUT_S):
-        """Calls a peer's method.
+        """Calls a method of a peer.
+
+        Args:
+            address: The peer's address.
+            method: Name of an RPC in peer.proto.
+            request: Request message of that RPC.
+            timeout_s: Longest wait for the reply.
 
         Returns:
             The reply, or None if there was none in time. The peer may
-            have handled the call all the same.
+            have handled the call nevertheless.
         """
         channel = self._channel(address)
         stub = peer_grpc.PeerStub(channel)
@@ -76,7 +82,8 @@
                 request, timeout=timeout_s, metadata=metadata
             )
         except _CALL_ERRORS:
-            # The connection may have gone silent for good.
+            # Reconnects on the next call, as the connection may be dead
+            # without having been closed.
             if self._channels.get(address) is channel:
                 del self._channels[address]
                 channel.close()
@@ -92,10 +99,10 @@
         return channel
 
     async def broadcast(self, method, request, timeout_s=CALL_TIMEOUT_S):
-        """Calls a method of every other live instance.
+        """Calls a method of every other live instance concurrently.
 
         Returns:
-            Replies by instance name; None where there was none.
+            Replies by instance name; None where there was no reply.
         """
         core = self._core
         others = [
@@ -134,7 +141,7 @@
 
 
 class _PeerService(peer_grpc.PeerBase):
-    """Answers peers."""
+    """Handlers of the RPCs in peer.proto."""
 
     def __init__(self, core):
         self._core = core
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force: from the store and from peers."""
+"""Keeps the configuration up to date from the store and from peers."""
 
 import json
 import pathlib
@@ -19,10 +19,12 @@
 
 
 class SettingsSync:
-    """Adopts higher revisions only, wherever they come from.
+    """Fetches and changes the configuration.
 
-    The speakers of a data centre poll the store each second; the others get
-    revisions from their peers and poll slowly as a safety net.
+    Only a higher revision than the current one is adopted, from the store
+    or from a peer. The few instances that represent their data centre poll
+    the store each second. The others get revisions from their peers, and
+    poll the store at longer intervals in case that fails.
     """
 
     def __init__(self, core):
@@ -36,7 +38,7 @@
         yield _periodic.every(FAST_POLL_S, self._poll, self._core.rng)
 
     async def load_initial(self):
-        """Takes what the store or, failing that, a listed peer has."""
+        """Loads the configuration from the store or, if down, from peers."""
         fetched = await self._poll_store()
         if isinstance(fetched, revisions.Unreached):
             await self._fetch_from_listed_peers()
@@ -90,7 +92,7 @@
         return fetched
 
     async def fetch_from(self, address):
-        """Fetches newer documents from a peer."""
+        """Fetches newer documents from the peer at an address."""
         core = self._core
         request = peer_pb2.DocumentsRequest(after=core.documents.revision)
         reply = await core.peers.call(address, 'Documents', request)
@@ -107,7 +109,7 @@
         self.adopt(reply.revision, documents, address)
 
     def handle(self, request):
-        """Answers a peer that asks for newer documents."""
+        """Returns the DocumentsReply to a peer's DocumentsRequest."""
         held = self._core.documents
         reply = peer_pb2.DocumentsReply(revision=held.revision)
         for document in held.after(request.after):
@@ -120,10 +122,19 @@
         return reply
 
     def adopt(self, revision, documents, source):
-        """Puts a higher revision in force.
+        """Adopts a revision if it is higher than the current one.
+
+        The documents of an invalid revision are adopted, too, but the
+        previous catalog stays in force.
+
+        Args:
+            revision: The revision.
+            documents: All documents that changed since the current
+                revision.
+            source: Where they come from, for the timeline.
 
         Returns:
-            Whether it was higher than the one held.
+            Whether the revision was higher.
         """
         core = self._core
         if not core.documents.adopt(revision, documents):
@@ -131,7 +142,12 @@
         try:
             built = catalog.build(core.documents.values(), readers.structure)
         except errors.SettingsInvalid as exc:
-            logger.error('revision {} is not valid: {}', revision, exc)
+            logger.error(
+                'settings revision {} is invalid, keeping the previous '
+                'catalog: {}',
+                revision,
+                exc,
+            )
             return True
         core.catalog = built
         core.scheduler.update_upstreams(built)
@@ -151,18 +167,19 @@
             core.members.leave()
 
     async def change(self, edit):
-        """Commits a change that was checked as a whole.
+        """Validates a change against all documents and commits it.
 
         Args:
-            edit: Function from Documents to new bare documents.
+            edit: Function from Documents to a mapping of path to new
+                bare document; None removes it.
 
         Returns:
             The new revision.
 
         Raises:
             StoreDown: If the store was not reached.
-            OutcomeUnknown: If it may or may not have been written.
-            SettingsInvalid: With all findings.
+            OutcomeUnknown: If the change may or may not be committed.
+            SettingsInvalid: If the result is invalid, with all findings.
         """
 
         def checked(documents):
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -10,7 +10,7 @@
 from dandelionwinch import settings
 from dandelionwinch import utils
 
-# A hold ends by itself if the instance that asked for it stops renewing it.
+# A hold that the instance behind it no longer renews ends after this time.
 HOLD_TTL_S = 10.0
 DEMAND_MAX_AGE_S = 10.0
 
@@ -59,7 +59,7 @@
             authority = self._authorities.get(name)
             if authority is not None and authority.shard is not None:
                 await self._renew_or_release(name, pool, authority, now)
-            elif self._should_lead(name, pool, now):
+            elif self._should_acquire(name, pool, now):
                 await self._acquire_lease(name, pool)
         held = sum(
             1 for a in self._authorities.values() if a.holds(core.now())
@@ -69,7 +69,7 @@
             len([r for r in self._frozen_reasons.values() if r])
         )
 
-    def _should_lead(self, name, pool, now):
+    def _should_acquire(self, name, pool, now):
         core = self._core
         if core.members.me.leaving or core.unready_reason():
             return False
@@ -125,7 +125,7 @@
                     for upstream in upstreams
                 )
             )
-            if not any(authority.shard.open_order(r.name) for r in upstreams):
+            if not any(authority.shard.open_order(u.name) for u in upstreams):
                 await self._plan_role_change(authority, pool, upstreams)
 
     async def _advance_order(self, authority, upstream):
@@ -239,8 +239,8 @@
     async def _plan_role_change(self, authority, pool, upstreams):
         core = self._core
         now = core.now()
-        estimates = [core.scheduler.estimates.get(r.name) for r in upstreams]
-        estimates = [b for b in estimates if b is not None and b.report]
+        estimates = [core.scheduler.estimates.get(u.name) for u in upstreams]
+        estimates = [e for e in estimates if e is not None and e.report]
         if len(estimates) < len(upstreams) or len(estimates) < 2:
             return
         change = placement.plan_roles(
@@ -258,6 +258,12 @@
         await self._step(authority, upstream, desired)
 
     def _demand_rates(self, pool, now):
+        """Returns the demand on a pool at all instances.
+
+        Returns:
+            Pairs of prefill and decode tokens per second: over the short
+            and over the long window.
+        """
         own = self._core.scheduler.demands(now).get(pool.name)
         found = [own] if own else []
         for at, demands in self._core.heartbeats.demands.values():
@@ -277,9 +283,9 @@
             Names of the live instances that did not confirm the hold.
         """
         self._drain_holds[upstream_name] = self._core.now()
-        held = await self._hold(upstream_name, f'drain:{upstream_name}')
+        hold = await self._hold(upstream_name, f'drain:{upstream_name}')
         live = self._core.members.live(self._core.now())
-        return [k.name for k in live if k.name not in held.reports]
+        return [k.name for k in live if k.name not in hold.reports]
 
     async def end_drain(self, upstream_name):
         """Releases the hold of a drain."""
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -1,4 +1,4 @@
-"""Answers statements of the operators' language."""
+"""Runs statements of the operators' language."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class StatementRunner:
-    """Runs queries and commands."""
+    """Runs queries and commands of operators."""
 
     def __init__(self, core):
         self._core = core
@@ -27,9 +27,16 @@
     async def run(self, text):
         """Runs one statement.
 
+        Args:
+            text: The statement.
+
         Returns:
             A mapping for JSON: rows of a query or the result of a
             command.
+
+        Raises:
+            DandelionwinchError: If the statement is invalid or cannot be
+                carried out.
         """
         statement = language.parse(text)
         match statement:
@@ -73,7 +80,12 @@
         return _tables.document_rows(core, table), []
 
     def own_rows(self, table, row_id):
-        """Returns this instance's rows of a gathered table."""
+        """Returns this instance's rows of a table that every instance has.
+
+        Args:
+            table: ``jobs``, ``earnings``, or ``job`` for a single job.
+            row_id: Identifier of the job, for ``job``.
+        """
         match table:
             case 'jobs':
                 return _tables.job_rows(self._core)
@@ -96,11 +108,11 @@
         return rows, silent
 
     async def events(self):
-        """Gathers the time line over all live instances.
+        """Merges the timelines of all live instances.
 
         Returns:
-            Events and gaps in causal order, and the instances that
-            did not answer.
+            Events and gaps in causal order, and the names of the
+            instances that did not answer.
         """
         core = self._core
         request = peer_pb2.EventsRequest(limit=EVENTS_PER_INSTANCE)
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -1,4 +1,4 @@
-"""The tables that operators can query, one builder for each."""
+"""Tables that operators can query: columns and rows."""
 
 import attrs
 
@@ -26,7 +26,7 @@
 
 
 def columns_of(table):
-    """Returns the names of a table's columns."""
+    """Returns the column names of a table."""
     if table in COLUMNS:
         return COLUMNS[table]
     kind = catalog.KIND_OF_PLURAL[table]
@@ -35,7 +35,7 @@
 
 
 def document_rows(core, table):
-    """Returns the rows of a kind of document."""
+    """Returns the documents of a table's kind as rows."""
     kind = catalog.KIND_OF_PLURAL[table]
     rows = []
     for document in core.catalog.all(kind):
@@ -47,7 +47,7 @@
 
 
 def upstream_rows(core):
-    """Returns the configured upstreams with what is known of them."""
+    """Returns the configured upstreams with their newest load reports."""
     now = core.now()
     return [_upstream_row(core, r, now) for r in core.catalog.all('upstream')]
 
@@ -119,7 +119,7 @@
 
 
 def job_rows(core):
-    """Returns the jobs that this instance served of late."""
+    """Returns the running and recent jobs of this instance."""
     now = core.now()
     return [
         {
@@ -139,7 +139,7 @@
 
 
 def earning_rows(core):
-    """Returns what this process earned by team."""
+    """Returns the delivered jobs and tokens of this process by team."""
     ledger = core.earnings.ledger
     return [
         {
@@ -154,7 +154,7 @@
 
 
 def setting_rows(core):
-    """Returns all documents of the configuration."""
+    """Returns all documents of the configuration as rows."""
     return [
         {
             'path': path,
--- a/dandelionwinch/daemon/_wire.py
+++ b/dandelionwinch/daemon/_wire.py
@@ -1,4 +1,4 @@
-"""Typed messages inside calls between peers."""
+"""Encoding of values in the messages between peers."""
 
 import json
 
@@ -35,27 +35,27 @@
 
 
 def dump_mutation(mutation):
-    """Encodes a change of a claim."""
+    """Encodes a claims.Open or claims.Close."""
     return _dump(mutation)
 
 
 def load_mutation(data):
-    """Decodes a change of a claim."""
+    """Decodes a claims.Open or claims.Close."""
     return _load(data, _MUTATIONS)
 
 
 def dump_result(result):
-    """Encodes the result of a change."""
+    """Encodes the result of a claim change."""
     return _dump(result)
 
 
 def load_result(data):
-    """Decodes the result of a change."""
+    """Decodes the result of a claim change."""
     return _load(data, _RESULTS)
 
 
 def dump_choice(choice):
-    """Turns a choice or a refusal into its message."""
+    """Returns the PlaceReply for a Choice or Refusal."""
     if isinstance(choice, placement.Refusal):
         return peer_pb2.PlaceReply(
             refusal=choice.reason, retry_after_s=choice.retry_after_s
@@ -70,7 +70,7 @@
 
 
 def load_choice(message):
-    """Turns a message into a choice or a refusal."""
+    """Returns the Choice or Refusal of a PlaceReply."""
     if message.refusal:
         return placement.Refusal(message.refusal, message.retry_after_s)
     return placement.Choice(
@@ -83,7 +83,7 @@
 
 
 def dump_event(event):
-    """Turns an event into its message."""
+    """Returns the message of an event."""
     return peer_pb2.Event(
         physical_us=event.timestamp.physical_us,
         logical=event.timestamp.logical,
@@ -96,7 +96,7 @@
 
 
 def load_event(message):
-    """Turns a message into its event."""
+    """Returns the event of a message."""
     return timeline.Event(
         timeline.Timestamp(message.physical_us, message.logical),
         message.instance,
