--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -62,7 +62,8 @@
             opening: A claims.Open.
 
         Returns:
-            The result: claims.Granted, or a reason why not.
+            claims.Granted if the call may be sent, else the result that
+            says why not.
         """
         result = await self._route(opening)
         if isinstance(result, claims.Unsettled):
@@ -191,15 +192,15 @@
         reply = await core.call_store(effects.Read(bucket))
         if not isinstance(reply, effects.Found):
             return
-        held = claims.Bucket.load(core.cfg.claims, reply.record.value)
-        waiting = [
+        stored = claims.Bucket.load(core.cfg.claims, reply.record.value)
+        to_resolve = [
             claim
-            for claim in held.claims()
+            for claim in stored.claims()
             if claim.state in (claims.State.OPEN, claims.State.UNKNOWN)
         ]
-        self._unresolved_counts[bucket] = len(waiting)
+        self._unresolved_counts[bucket] = len(to_resolve)
         clock = await core.run_program(_read_clock())
-        for claim in waiting:
+        for claim in to_resolve:
             await self._resolve_claim(bucket, claim, clock)
 
     async def _resolve_claim(self, bucket, claim, clock):
@@ -266,8 +267,8 @@
             return None
         found = []
         for record in reply.records:
-            held = claims.Bucket.load(self._core.cfg.claims, record.value)
-            found.extend(held.claims())
+            stored = claims.Bucket.load(self._core.cfg.claims, record.value)
+            found.extend(stored.claims())
         return found
 
 
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -71,10 +71,10 @@
     async def _poll(self):
         core = self._core
         now = core.now()
-        is_speaker = core.members.me in core.members.speakers(
+        polls_fast = core.members.me in core.members.speakers(
             core.data_centre, now
         )
-        if is_speaker or now - self._polled_at >= core.cfg.store.poll_s:
+        if polls_fast or now - self._polled_at >= core.cfg.store.poll_s:
             await self._poll_store()
 
     async def _poll_store(self):
