--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -106,7 +106,9 @@
         usable = core.members.usable(core.now())
         if not usable:
             return None
-        best = max(usable, key=lambda k: utils.stable_hash(bucket, k.name))
+        best = max(
+            usable, key=lambda peer: utils.stable_hash(bucket, peer.name)
+        )
         return None if best is core.members.me else best
 
     async def _route(self, mutation):
--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -48,8 +48,8 @@
     async def _send_heartbeats(self):
         core = self._core
         now = core.now()
-        for known in core.members.everyone():
-            core.departures.restarted(known.name, known.member.incarnation)
+        for peer in core.members.everyone():
+            core.departures.restarted(peer.name, peer.member.incarnation)
         addresses = core.members.tick(now)
         core.members.me.jobs = core.scheduler.running_jobs()
         core.members.me.revision = core.documents.revision
@@ -63,9 +63,9 @@
         core.members.tick(core.now())
         core.members.me.revision = core.documents.revision
         peers = [
-            known.member.peer_address
-            for known in core.members.live(core.now())
-            if known is not core.members.me
+            peer.member.peer_address
+            for peer in core.members.live(core.now())
+            if peer is not core.members.me
         ]
         await asyncio.gather(*(self._exchange(a) for a in peers))
 
@@ -82,19 +82,19 @@
         if reply.revision <= core.documents.revision:
             core.freshness.heard(reply.sender.data_centre, requested_at, reply)
 
-    def build_digest(self, peer, data_centre):
+    def build_digest(self, peer_address, data_centre):
         """Builds the digest for a peer.
 
         Args:
-            peer: Address of the peer. Identifiers that its last digest
-                used and that are unknown here go back to it, so that it
-                introduces them.
+            peer_address: Address of the peer. Identifiers in its last
+                digest that are unknown here are sent back to it, so that
+                it introduces those instances.
             data_centre: Data centre of the peer, or None if unknown.
         """
         core = self._core
         now = core.now()
         digest = core.members.digest(now, data_centre)
-        digest.asked.extend(self._unknown_ids.pop(peer, ()))
+        digest.asked.extend(self._unknown_ids.pop(peer_address, ()))
         digest.revision = core.documents.revision
         core.freshness.tell(digest, now)
         is_near = data_centre in (None, core.data_centre)
@@ -120,21 +120,21 @@
         digest.logical = timestamp.logical
         return digest
 
-    async def receive(self, peer, digest):
+    async def receive(self, peer_address, digest):
         """Merges a digest and fetches settings if the peer has newer ones.
 
         Args:
-            peer: Address of the peer.
+            peer_address: Address of the peer.
             digest: The digest.
         """
         core = self._core
         now = core.now()
         timestamp = timeline.Timestamp(digest.physical_us, digest.logical)
         core.hybrid_clock.update(timestamp)
-        before = {k.name for k in core.members.live(now)}
+        before = {peer.name for peer in core.members.live(now)}
         unknown = core.members.merge(digest, now)
-        self._unknown_ids[peer] = unknown
-        after = {k.name for k in core.members.live(now)}
+        self._unknown_ids[peer_address] = unknown
+        after = {peer.name for peer in core.members.live(now)}
         for name in sorted(after - before):
             core.event('instance.seen', name)
         core.load_reports.merge(digest.loads, now)
@@ -148,7 +148,7 @@
             await core.settings.fetch_from(address)
 
     def peer_rates(self, now):
-        """Returns what peers recently sent by pool, in tokens per second."""
+        """Returns the prompt tokens per second that peers sent to each pool."""
         total = {}
         for at, sent in self._sent_rates.values():
             if now - at < RATE_MAX_AGE_S:
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -73,11 +73,14 @@
         core = self._core
         data_centre = core.catalog.data_centre_of(upstream)
         live = core.members.live(now)
-        nearby = [k for k in live if k.data_centre == data_centre] or live
+        nearby = [
+            peer for peer in live if peer.data_centre == data_centre
+        ] or live
         if not nearby:
             return core.name
         best = max(
-            nearby, key=lambda k: utils.stable_hash(upstream.name, k.name)
+            nearby,
+            key=lambda peer: utils.stable_hash(upstream.name, peer.name),
         )
         return best.name
 
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -106,17 +106,17 @@
         """
         core = self._core
         others = [
-            known
-            for known in core.members.live(core.now())
-            if known is not core.members.me
+            peer
+            for peer in core.members.live(core.now())
+            if peer is not core.members.me
         ]
         replies = await asyncio.gather(
             *(
-                self.call(k.member.peer_address, method, request, timeout_s)
-                for k in others
+                self.call(peer.member.peer_address, method, request, timeout_s)
+                for peer in others
             )
         )
-        names = [known.name for known in others]
+        names = [peer.name for peer in others]
         return dict(zip(names, replies, strict=True))
 
 
--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -58,9 +58,9 @@
         core = self._core
         now = core.now()
         nearby = {
-            known.name: known
-            for known in core.members.usable(now)
-            if known.member.data_centre == core.data_centre
+            peer.name: peer
+            for peer in core.members.usable(now)
+            if peer.member.data_centre == core.data_centre
         }
         if not nearby:
             return None
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -296,7 +296,14 @@
         return budget
 
     def retry(self, message):
-        """Takes a retry from the budget of its target; False if it is spent."""
+        """Takes a retry from the budget of its target.
+
+        Args:
+            message: A Retry message.
+
+        Returns:
+            False if the budget is spent.
+        """
         allowed = self._retry_budget(message.target).spend()
         if allowed:
             self._core.metrics.retries.inc()
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -22,9 +22,9 @@
     """Fetches and changes the configuration.
 
     Only a higher revision than the current one is adopted, from the store
-    or from a peer. The few instances that represent their data centre poll
-    the store each second. The others get revisions from their peers, and
-    poll the store at longer intervals in case that fails.
+    or from a peer. The delegates of a data centre poll the store each
+    second. The others get revisions from their peers, and poll the store
+    at longer intervals in case that fails.
     """
 
     def __init__(self, core):
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -26,7 +26,7 @@
 
     def __init__(self, core):
         self._core = core
-        self._authorities = {}
+        self._shard_leases = {}
         self._frozen_reasons = {}
         self._drain_holds = {}
         self._executors = {}
@@ -43,9 +43,9 @@
     def _pools(self):
         return [p for p in self._core.catalog.all('pool') if p.model]
 
-    def authority(self, shard_name):
+    def shard_lease(self, shard_name):
         """Returns the orders.Authority of a shard, or None."""
-        return self._authorities.get(shard_name)
+        return self._shard_leases.get(shard_name)
 
     def frozen_reason(self, upstream_name):
         """Returns why no order is sent to an upstream, or an empty string."""
@@ -56,13 +56,13 @@
         now = core.now()
         pools = {orders.shard_of(pool): pool for pool in self._pools()}
         for name, pool in pools.items():
-            authority = self._authorities.get(name)
-            if authority is not None and authority.shard is not None:
-                await self._renew_or_release(name, pool, authority, now)
+            lease = self._shard_leases.get(name)
+            if lease is not None and lease.shard is not None:
+                await self._renew_or_release(name, pool, lease, now)
             elif self._should_acquire(name, pool, now):
                 await self._acquire_lease(name, pool)
         held = sum(
-            1 for a in self._authorities.values() if a.holds(core.now())
+            1 for a in self._shard_leases.values() if a.holds(core.now())
         )
         core.metrics.shards.set(held)
         core.metrics.frozen.set(
@@ -75,69 +75,69 @@
             return False
         usable = core.members.usable(now)
         nearby = [
-            k for k in usable if k.data_centre == pool.data_centre
+            peer for peer in usable if peer.data_centre == pool.data_centre
         ] or usable
         if not nearby:
             return False
-        best = max(nearby, key=lambda k: utils.stable_hash(name, k.name))
+        best = max(nearby, key=lambda peer: utils.stable_hash(name, peer.name))
         return best is core.members.me
 
-    async def _renew_or_release(self, name, pool, authority, now):
+    async def _renew_or_release(self, name, pool, lease, now):
         if self._core.members.me.leaving:
-            await self._core.run_program(authority.release())
+            await self._core.run_program(lease.release())
             self._core.event('shard.released', name)
         else:
             await self._acquire_lease(name, pool)
 
     async def _acquire_lease(self, name, pool):
         core = self._core
-        authority = self._authorities.get(name)
-        if authority is None:
-            authority = orders.Authority(
+        lease = self._shard_leases.get(name)
+        if lease is None:
+            lease = orders.Authority(
                 name, core.name, core.incarnation, core.cfg.timing
             )
-            self._authorities[name] = authority
-        held = authority.shard is not None
+            self._shard_leases[name] = lease
+        held = lease.shard is not None
         upstreams = core.catalog.upstreams_of(pool.name)
         fenced = all(upstream.checks_fencing for upstream in upstreams)
         result = await core.run_program(
-            authority.acquire(fenced, core.departures.is_gone)
+            lease.acquire(fenced, core.departures.is_gone)
         )
         match result:
             case orders.Owned(shard=shard) if not held:
                 core.event('shard.taken', name, f'epoch {shard.epoch}')
             case orders.Lost(reason=reason):
                 core.event('shard.lost', name, reason)
-        reason = '' if authority.shard else authority.wait_reason
+        reason = '' if lease.shard else lease.wait_reason
         for upstream in upstreams:
             self._frozen_reasons[upstream.name] = reason
 
     async def _advance_all_orders(self):
         core = self._core
         for pool in self._pools():
-            authority = self._authorities.get(orders.shard_of(pool))
-            if authority is None or not authority.holds(core.now()):
+            lease = self._shard_leases.get(orders.shard_of(pool))
+            if lease is None or not lease.holds(core.now()):
                 continue
             upstreams = core.catalog.upstreams_of(pool.name)
             await asyncio.gather(
                 *(
-                    self._advance_order(authority, upstream)
+                    self._advance_order(lease, upstream)
                     for upstream in upstreams
                 )
             )
-            if not any(authority.shard.open_order(u.name) for u in upstreams):
-                await self._plan_role_change(authority, pool, upstreams)
+            if not any(lease.shard.open_order(u.name) for u in upstreams):
+                await self._plan_role_change(lease, pool, upstreams)
 
-    async def _advance_order(self, authority, upstream):
-        if authority.shard is None:
+    async def _advance_order(self, lease, upstream):
+        if lease.shard is None:
             return
-        desired = self._configured_role(authority.shard, upstream)
-        await self._step(authority, upstream, desired)
+        desired = self._configured_role(lease.shard, upstream)
+        await self._step(lease, upstream, desired)
 
-    async def _step(self, authority, upstream, desired):
+    async def _step(self, lease, upstream, desired):
         progress = await self._run(
-            self._executor(authority).step(upstream, desired),
-            authority,
+            self._executor(lease).step(upstream, desired),
+            lease,
             upstream,
         )
         closed = progress.event == 'order.closed'
@@ -147,15 +147,15 @@
                 progress.event, progress.order_id, progress.reason
             )
 
-    def _executor(self, authority):
-        executor = self._executors.get(authority)
+    def _executor(self, lease):
+        executor = self._executors.get(lease)
         if executor is None:
             settle_s = self._core.cfg.timing.gone_margin_s
-            executor = orders.Conductor(authority, settle_s)
-            self._executors[authority] = executor
+            executor = orders.Conductor(lease, settle_s)
+            self._executors[lease] = executor
         return executor
 
-    async def _run(self, program, authority, upstream):
+    async def _run(self, program, lease, upstream):
         core = self._core
 
         async def handle(request):
@@ -167,7 +167,7 @@
                 case orders.ReleaseHold(order_id=order_id):
                     return await self._release_hold(upstream.name, order_id)
                 case orders.SendOrder(order=order):
-                    return await self._send(authority, upstream, order)
+                    return await self._send(lease, upstream, order)
             return await core.run_effect(request)
 
         return await core.run_program(program, handle)
@@ -208,25 +208,25 @@
             for name, reply in replies.items()
             if reply is not None
         }
-        names = [k.name for k in core.members.may_live(core.now())]
+        names = [peer.name for peer in core.members.may_live(core.now())]
         return orders.Hold(tuple(names), reports)
 
-    async def _send(self, authority, upstream, order):
+    async def _send(self, lease, upstream, order):
         core = self._core
 
         def send():
             # Checked in the worker thread, right before sending, as the
             # lease may end while the call waits for a thread.
-            if time.monotonic() >= authority.until:
+            if time.monotonic() >= lease.until:
                 return None
             return core.upstreams.order(upstream.address, order)
 
-        if not authority.begin_send():
+        if not lease.begin_send():
             return None
         try:
             answer = await core.run_blocking(send)
         finally:
-            authority.end_send()
+            lease.end_send()
         return None if answer is None else answer.taken
 
     async def _release_hold(self, upstream_name, order_id):
@@ -236,7 +236,7 @@
         self._core.load_reports.hold(request)
         await self._core.peers.broadcast('Hold', request)
 
-    async def _plan_role_change(self, authority, pool, upstreams):
+    async def _plan_role_change(self, lease, pool, upstreams):
         core = self._core
         now = core.now()
         estimates = [core.scheduler.estimates.get(u.name) for u in upstreams]
@@ -254,8 +254,8 @@
             return
         upstream = core.catalog.get('upstream', change.upstream)
         core.event('role.planned', upstream.name, change.terms)
-        desired = self._desired_role(authority.shard, upstream, change.role)
-        await self._step(authority, upstream, desired)
+        desired = self._desired_role(lease.shard, upstream, change.role)
+        await self._step(lease, upstream, desired)
 
     def _demand_rates(self, pool, now):
         """Returns the demand on a pool at all instances.
@@ -285,7 +285,7 @@
         self._drain_holds[upstream_name] = self._core.now()
         hold = await self._hold(upstream_name, f'drain:{upstream_name}')
         live = self._core.members.live(self._core.now())
-        return [k.name for k in live if k.name not in hold.reports]
+        return [peer.name for peer in live if peer.name not in hold.reports]
 
     async def end_drain(self, upstream_name):
         """Releases the hold of a drain."""
@@ -308,9 +308,9 @@
 
     async def release_all(self):
         """Releases the leases of all shards that this instance holds."""
-        for name, authority in self._authorities.items():
-            if authority.shard is not None:
-                await self._core.run_program(authority.release())
+        for name, lease in self._shard_leases.items():
+            if lease.shard is not None:
+                await self._core.run_program(lease.release())
                 self._core.event('shard.released', name)
 
 
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -241,7 +241,7 @@
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
             return
-        names = {known.name for known in self._core.members.everyone()}
+        names = {peer.name for peer in self._core.members.everyone()}
         if statement.name not in names:
             raise errors.NotFound(
                 f'instance "{statement.name}" does not exist'
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -96,26 +96,26 @@
 def instance_rows(core):
     """Returns all known instances."""
     now = core.now()
-    live = {known.name for known in core.members.live(now)}
+    live = {peer.name for peer in core.members.live(now)}
     return [
         {
-            'name': known.name,
-            'data_centre': known.data_centre,
-            'state': _instance_state(known, live),
-            'jobs': known.jobs,
-            'revision': known.revision,
-            'silent_s': round(max(0.0, now - known.heard_at), 2),
-            'listed': known.listed,
-            'address': known.member.client_address,
+            'name': peer.name,
+            'data_centre': peer.data_centre,
+            'state': _instance_state(peer, live),
+            'jobs': peer.jobs,
+            'revision': peer.revision,
+            'silent_s': round(max(0.0, now - peer.heard_at), 2),
+            'listed': peer.listed,
+            'address': peer.member.client_address,
         }
-        for known in core.members.everyone()
+        for peer in core.members.everyone()
     ]
 
 
-def _instance_state(known, live):
-    if known.name not in live:
+def _instance_state(peer, live):
+    if peer.name not in live:
         return 'silent'
-    return 'leaving' if known.leaving else 'live'
+    return 'leaving' if peer.leaving else 'live'
 
 
 def job_rows(core):
