--- a/dandelionwinch/language/__init__.py
+++ b/dandelionwinch/language/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' language: queries and commands."""
+"""The operators' language: parsing, queries and commands."""
 
 from dandelionwinch.language._edits import edits_of
 from dandelionwinch.language._parse import parse
--- a/dandelionwinch/language/_edits.py
+++ b/dandelionwinch/language/_edits.py
@@ -1,23 +1,23 @@
-"""What a command changes in the configuration."""
+"""Changes of the configuration by commands."""
 
 from dandelionwinch import errors
 from dandelionwinch.language import _statements as st
 
 
 def edits_of(statement, documents):
-    """Works out the new documents of a command.
+    """Returns the documents that a command changes.
 
     Args:
         statement: A command.
-        documents: Documents at the newest revision.
+        documents: revisions.Documents at the newest revision.
 
     Returns:
         Mapping of path to new bare value; None removes a document.
 
     Raises:
-        Conflict: If the document is at another revision than named,
-            or stands in the way.
-        NotFound: If a document does not exist.
+        Conflict: If the document is not at the revision that the command
+            requires, or if a document to be created exists already.
+        NotFound: If a document to be changed does not exist.
     """
     path = _path_of(statement)
     _check_revision(statement, path, documents)
@@ -28,10 +28,10 @@
                 raise errors.Conflict(f'{kind} "{name}" exists already')
             return {path: {'name': name, **fields}}
         case st.Remove():
-            _existing(path, values)
+            _existing_value(path, values)
             return {path: None}
         case st.SetFields(fields=fields):
-            return {path: {**_existing(path, values), **fields}}
+            return {path: {**_existing_value(path, values), **fields}}
         case st.Drain():
             return _with_state(path, values, 'draining')
         case st.Undrain():
@@ -39,9 +39,9 @@
         case st.Retire():
             return _with_state(path, values, 'retired')
         case st.ChangeRole(role=role):
-            return {path: {**_existing(path, values), 'role': role}}
+            return {path: {**_existing_value(path, values), 'role': role}}
         case st.Replace():
-            return _replaced(statement, path, values)
+            return _edits_of_replace(statement, path, values)
     raise TypeError(f'"{statement!r}" is not a command')
 
 
@@ -60,7 +60,7 @@
         )
 
 
-def _existing(path, values):
+def _existing_value(path, values):
     if path not in values:
         kind, _, name = path.partition('/')
         raise errors.NotFound(f'{kind} "{name}" does not exist')
@@ -71,11 +71,11 @@
     if path.startswith('instance/'):
         name = path.partition('/')[2]
         return {path: {'name': name, 'state': state}}
-    return {path: {**_existing(path, values), 'state': state}}
+    return {path: {**_existing_value(path, values), 'state': state}}
 
 
-def _replaced(statement, path, values):
-    old = _existing(path, values)
+def _edits_of_replace(statement, path, values):
+    old = _existing_value(path, values)
     new_path = f'upstream/{statement.new_name}'
     if new_path in values:
         raise errors.Conflict(
--- a/dandelionwinch/language/_parse.py
+++ b/dandelionwinch/language/_parse.py
@@ -1,4 +1,4 @@
-"""Parses statements; errors point at the column."""
+"""Parser of statements; errors give the column and what was expected."""
 
 import importlib.resources
 
@@ -8,6 +8,7 @@
 from dandelionwinch import errors
 from dandelionwinch.language import _statements as st
 
+# Descriptions of the grammar's terminals in error messages.
 _TERMINAL_NAMES = {
     'TABLE': 'a table',
     'FIELD': 'a field',
@@ -38,17 +39,20 @@
     return package.joinpath('grammar.lark').read_text(encoding='utf-8')
 
 
-class _Builder(lark.Transformer):
-    """Turns a parse tree into a statement."""
+class _StatementBuilder(lark.Transformer):
+    """Converts a parse tree to a statement.
+
+    Each method is named after a rule of grammar.lark.
+    """
 
     def start(self, items):
         return items[0]
 
     def name(self, items):
-        return _plain(items[0])
+        return _unquoted(items[0])
 
     def string(self, items):
-        return _plain(items[0])
+        return _unquoted(items[0])
 
     def word(self, items):
         return str(items[0])
@@ -110,10 +114,10 @@
         return st.Explain(str(items[0]).lower(), items[1])
 
     def drain(self, items):
-        return st.Drain(_low(items[0]), items[1], _revision(items[2:]))
+        return st.Drain(_lower(items[0]), items[1], _revision(items[2:]))
 
     def undrain(self, items):
-        return st.Undrain(_low(items[0]), items[1], _revision(items[2:]))
+        return st.Undrain(_lower(items[0]), items[1], _revision(items[2:]))
 
     def retire(self, items):
         return st.Retire(items[0], _revision(items[1:]))
@@ -122,27 +126,27 @@
         return st.Replace(*items[:3], _revision(items[3:]))
 
     def change_role(self, items):
-        return st.ChangeRole(items[0], _low(items[1]), _revision(items[2:]))
+        return st.ChangeRole(items[0], _lower(items[1]), _revision(items[2:]))
 
     def set(self, items):
         kind, name, fields, *rest = items
-        return st.SetFields(_low(kind), name, fields, _revision(rest))
+        return st.SetFields(_lower(kind), name, fields, _revision(rest))
 
     def create(self, items):
         kind, name, *rest = items
         fields = rest.pop(0) if rest and isinstance(rest[0], dict) else {}
-        return st.Create(_low(kind), name, fields, _revision(rest))
+        return st.Create(_lower(kind), name, fields, _revision(rest))
 
     def remove(self, items):
-        return st.Remove(_low(items[0]), items[1], _revision(items[2:]))
+        return st.Remove(_lower(items[0]), items[1], _revision(items[2:]))
 
 
-def _plain(token):
+def _unquoted(token):
     text = str(token)
     return text[1:-1] if token.type == 'STRING' else text
 
 
-def _low(token):
+def _lower(token):
     return str(token).lower()
 
 
@@ -156,14 +160,18 @@
 def parse(text):
     """Parses one statement.
 
+    Args:
+        text: The statement; a semicolon at its end is optional.
+
     Returns:
-        One of the statement classes.
+        An instance of one of the statement classes.
 
     Raises:
-        StatementInvalid: With the column and what was expected there.
+        StatementInvalid: If the text does not match the grammar, with
+            the column and what was expected there.
     """
     try:
-        return _Builder().transform(_PARSER.parse(text))
+        return _StatementBuilder().transform(_PARSER.parse(text))
     except exceptions.UnexpectedEOF as exc:
         raise _invalid(text, len(text) + 1, exc.expected) from exc
     except exceptions.UnexpectedCharacters as exc:
--- a/dandelionwinch/language/_query.py
+++ b/dandelionwinch/language/_query.py
@@ -1,4 +1,4 @@
-"""Runs queries over rows."""
+"""Filtering, sorting and limiting of rows."""
 
 import fnmatch
 
@@ -7,30 +7,30 @@
 
 
 def select(show, rows, columns):
-    """Filters, orders and limits rows.
+    """Returns the rows that a query selects, in its order.
 
     Args:
         show: The query.
         rows: List of mappings from column to value.
-        columns: Names of the table's columns.
+        columns: Column names of the table.
 
     Raises:
-        StatementInvalid: If a column does not exist.
+        StatementInvalid: If the query names a column that does not exist.
     """
-    for name in _fields_of(show.where):
-        _check(name, show.table, columns)
+    for name in _columns_of(show.where):
+        _check_column(name, show.table, columns)
     if show.order_by:
-        _check(show.order_by, show.table, columns)
-    kept = [row for row in rows if _holds(show.where, row)]
+        _check_column(show.order_by, show.table, columns)
+    selected = [row for row in rows if _matches(show.where, row)]
     if show.order_by:
-        kept.sort(
+        selected.sort(
             key=lambda row: _sort_key(row.get(show.order_by)),
             reverse=show.descending,
         )
-    return kept if show.limit is None else kept[: show.limit]
+    return selected if show.limit is None else selected[: show.limit]
 
 
-def _check(name, table, columns):
+def _check_column(name, table, columns):
     if name not in columns:
         known = ', '.join(columns)
         raise errors.StatementInvalid(
@@ -40,15 +40,15 @@
         )
 
 
-def _fields_of(condition):
+def _columns_of(condition):
     match condition:
         case st.Compare(field=field):
             yield field
         case st.Not(term=term):
-            yield from _fields_of(term)
+            yield from _columns_of(term)
         case st.All(terms=terms) | st.Any(terms=terms):
             for term in terms:
-                yield from _fields_of(term)
+                yield from _columns_of(term)
 
 
 def _sort_key(value):
@@ -57,16 +57,16 @@
     return (1, 0, str(value))
 
 
-def _holds(condition, row):
+def _matches(condition, row):
     match condition:
         case None:
             return True
         case st.Not(term=term):
-            return not _holds(term, row)
+            return not _matches(term, row)
         case st.All(terms=terms):
-            return all(_holds(term, row) for term in terms)
+            return all(_matches(term, row) for term in terms)
         case st.Any(terms=terms):
-            return any(_holds(term, row) for term in terms)
+            return any(_matches(term, row) for term in terms)
         case st.Compare():
             return _compare(condition, row.get(condition.field))
     raise TypeError(f'"{condition!r}" is not a condition')
--- a/dandelionwinch/language/_statements.py
+++ b/dandelionwinch/language/_statements.py
@@ -1,11 +1,15 @@
-"""Statements of the language as data classes."""
+"""Data classes of statements and their conditions.
+
+The event ``command.committed`` has a command in its text form, so the names
+of commands and of their fields are part of the output.
+"""
 
 import attrs
 
 
 @attrs.frozen
 class Compare:
-    """A field compared with a value."""
+    """Condition: a column compared with a value."""
 
     field: str
     operator: str
@@ -14,28 +18,28 @@
 
 @attrs.frozen
 class Not:
-    """The opposite of a condition."""
+    """Condition: true if the term is false."""
 
     term: object
 
 
 @attrs.frozen
 class All:
-    """True if each term is true."""
+    """Condition: true if every term is true."""
 
     terms: tuple
 
 
 @attrs.frozen
 class Any:
-    """True if one term is true."""
+    """Condition: true if any term is true."""
 
     terms: tuple
 
 
 @attrs.frozen
 class Show:
-    """A query over one table."""
+    """Query: selects rows of a table."""
 
     table: str
     where: object = None
@@ -46,7 +50,7 @@
 
 @attrs.frozen
 class Explain:
-    """Asks why a job or an upstream stands as it does."""
+    """Query: explains the state of a job or an upstream."""
 
     kind: str
     name: str
@@ -54,7 +58,7 @@
 
 @attrs.frozen
 class Drain:
-    """Gives an upstream or an instance no new work."""
+    """Command: keeps new work off an upstream or an instance."""
 
     kind: str
     name: str
@@ -63,7 +67,7 @@
 
 @attrs.frozen
 class Undrain:
-    """Takes a drain back."""
+    """Command: ends a drain."""
 
     kind: str
     name: str
@@ -72,7 +76,7 @@
 
 @attrs.frozen
 class Retire:
-    """Takes an upstream out of service for good."""
+    """Command: takes an upstream out of service permanently."""
 
     name: str
     revision: int | None = None
@@ -80,7 +84,7 @@
 
 @attrs.frozen
 class Replace:
-    """Drains an upstream and adds another in its place."""
+    """Command: drains an upstream and adds another in its place."""
 
     name: str
     new_name: str
@@ -90,7 +94,7 @@
 
 @attrs.frozen
 class ChangeRole:
-    """Orders an upstream to another role."""
+    """Command: changes the role of an upstream."""
 
     name: str
     role: str
@@ -99,7 +103,7 @@
 
 @attrs.frozen
 class SetFields:
-    """Changes fields of a document."""
+    """Command: changes fields of a document."""
 
     kind: str
     name: str
@@ -109,7 +113,7 @@
 
 @attrs.frozen
 class Create:
-    """Adds a document."""
+    """Command: adds a document."""
 
     kind: str
     name: str
@@ -119,7 +123,7 @@
 
 @attrs.frozen
 class Remove:
-    """Removes a document."""
+    """Command: removes a document."""
 
     kind: str
     name: str
@@ -127,5 +131,5 @@
 
 
 def is_command(statement):
-    """Tells whether a statement changes something."""
+    """Tells whether a statement is a command, not a query."""
     return not isinstance(statement, Show | Explain)
