--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -148,7 +148,7 @@
             await core.settings.fetch_from(address)
 
     def peer_rates(self, now):
-        """Returns the prompt tokens per second that peers sent to each pool."""
+        """Returns prompt tokens per second that peers sent, by pool."""
         total = {}
         for at, sent in self._sent_rates.values():
             if now - at < RATE_MAX_AGE_S:
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -69,8 +69,8 @@
             case 'settings':
                 return _tables.setting_rows(core), []
             case 'events':
-                lines, silent = await self.events()
-                return _tables.event_rows(lines), silent
+                timeline_items, silent = await self.events()
+                return _tables.event_rows(timeline_items), silent
             case 'shards' | 'orders':
                 return await self._shard_rows(table), []
             case 'claims':
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -165,19 +165,19 @@
     ]
 
 
-def event_rows(lines):
+def event_rows(timeline):
     """Returns merged events and gaps as rows."""
-    return [_event_row(line) for line in lines]
+    return [_event_row(item) for item in timeline]
 
 
-def _event_row(line):
-    row = {'time': line.timestamp.physical_us / 1e6, 'instance': line.instance}
-    if hasattr(line, 'kind'):
-        row['kind'] = line.kind
-        row['subject'] = line.subject
-        row['detail'] = line.detail
+def _event_row(item):
+    row = {'time': item.timestamp.physical_us / 1e6, 'instance': item.instance}
+    if hasattr(item, 'kind'):
+        row['kind'] = item.kind
+        row['subject'] = item.subject
+        row['detail'] = item.detail
     else:
         row['kind'] = 'gap'
         row['subject'] = ''
-        row['detail'] = f'{line.missing} events are no longer held'
+        row['detail'] = f'{item.missing} events are no longer held'
     return row
--- a/dandelionwinch/timeline/__init__.py
+++ b/dandelionwinch/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""A time line of events over all processes."""
+"""Timeline of the events of all instances, in causal order."""
 
 from dandelionwinch.timeline._clock import HybridClock
 from dandelionwinch.timeline._clock import Timestamp
@@ -7,4 +7,4 @@
 from dandelionwinch.timeline._merge import Gap
 from dandelionwinch.timeline._merge import merge
 
-__all__ = ['Event', 'Gap', 'HybridClock', 'EventBuffer', 'Timestamp', 'merge']
+__all__ = ['Event', 'EventBuffer', 'Gap', 'HybridClock', 'Timestamp', 'merge']
--- a/dandelionwinch/timeline/_clock.py
+++ b/dandelionwinch/timeline/_clock.py
@@ -5,11 +5,11 @@
 
 @attrs.frozen(order=True)
 class Timestamp:
-    """A time that respects cause and effect between processes.
+    """A time of a hybrid logical clock, ordered consistently with causality.
 
     Attributes:
         physical_us: Largest wall time seen, in microseconds.
-        logical: Counter among equal physical times.
+        logical: Counter that orders equal physical times.
     """
 
     physical_us: int
@@ -17,7 +17,11 @@
 
 
 class HybridClock:
-    """Gives stamps that rise with each event and each message."""
+    """Returns timestamps that increase with each event and each message.
+
+    Args:
+        wall_us: Function that returns the wall time in microseconds.
+    """
 
     __slots__ = ('_last', '_wall_us')
 
@@ -26,11 +30,11 @@
         self._last = Timestamp(0, 0)
 
     def now(self):
-        """Returns the stamp of a local event."""
+        """Returns the timestamp of a local event."""
         return self._advance(self._last)
 
     def update(self, timestamp):
-        """Takes in the stamp of a message."""
+        """Advances the clock past the timestamp of a received message."""
         return self._advance(max(self._last, timestamp))
 
     def _advance(self, last):
--- a/dandelionwinch/timeline/_merge.py
+++ b/dandelionwinch/timeline/_merge.py
@@ -1,4 +1,4 @@
-"""Bounded rings of events and their merge in causal order."""
+"""Bounded buffers of events, and their merge in causal order."""
 
 import collections
 
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class Event:
-    """Something that happened in one process.
+    """An event in one process.
 
     Attributes:
-        sequence: Number within the process, without holes.
+        sequence: Consecutive number within the process, from 0.
         kind: What happened, such as ``job.placed``.
-        subject: Job, upstream, order or instance that it is about.
-        detail: A short text.
+        subject: Job, upstream, order or other object of the event.
+        detail: Further information as text.
     """
 
     timestamp: _clock.Timestamp
@@ -28,7 +28,12 @@
 
 @attrs.frozen
 class Gap:
-    """Events of an instance that its ring no longer holds."""
+    """Events of an instance that its buffer has already dropped.
+
+    Attributes:
+        timestamp: Timestamp of the next event that is present.
+        missing: Number of dropped events.
+    """
 
     timestamp: _clock.Timestamp
     instance: str
@@ -36,57 +41,68 @@
 
 
 class EventBuffer:
-    """The latest events of one process."""
+    """The latest events of one process.
 
-    __slots__ = ('_clock', '_events', '_instance', '_next')
+    Args:
+        instance: Name of the instance.
+        clock: The HybridClock of the process.
+        size: Largest number of events kept.
+    """
+
+    __slots__ = ('_clock', '_events', '_instance', '_next_sequence')
 
     def __init__(self, instance, clock, size):
         self._instance = instance
         self._clock = clock
         self._events = collections.deque(maxlen=size)
-        self._next = 0
+        self._next_sequence = 0
 
     def add(self, kind, subject, detail=''):
-        """Records an event and returns it."""
+        """Appends an event and returns it."""
         event = Event(
             self._clock.now(),
             self._instance,
-            self._next,
+            self._next_sequence,
             kind,
             subject,
             detail,
         )
-        self._next += 1
+        self._next_sequence += 1
         self._events.append(event)
         return event
 
     def latest(self, limit):
-        """Returns the latest events, oldest first."""
+        """Returns the latest events, oldest first.
+
+        Args:
+            limit: Largest number of events, at least 1.
+        """
         return list(self._events)[-limit:]
 
 
-def merge(rings):
+def merge(event_lists):
     """Merges the events of several processes.
 
     Args:
-        rings: Iterable of lists of events, one list a process.
+        event_lists: Iterable with one list of events for each process.
 
     Returns:
-        Events in causal order, with a Gap where numbers are missing.
+        Events in causal order, with a Gap where sequence numbers are
+        missing.
     """
-    lines = []
-    for events in rings:
-        following = None
+    merged = []
+    for events in event_lists:
+        next_sequence = None
         for event in sorted(events, key=lambda item: item.sequence):
-            first = 0 if following is None else following
-            if event.sequence > first:
-                missing = event.sequence - first
-                lines.append(Gap(event.timestamp, event.instance, missing))
-            lines.append(event)
-            following = event.sequence + 1
-
-    def order(line):
-        sequence = line.sequence if isinstance(line, Event) else -1
-        return (line.timestamp, line.instance, sequence)
-
-    return sorted(lines, key=order)
+            expected = 0 if next_sequence is None else next_sequence
+            if event.sequence > expected:
+                missing = event.sequence - expected
+                merged.append(Gap(event.timestamp, event.instance, missing))
+            merged.append(event)
+            next_sequence = event.sequence + 1
+
+    def order(item):
+        sequence = item.sequence if isinstance(item, Event) else -1
+        return (item.timestamp, item.instance, sequence)
+
+    return sorted(merged, key=order)
