--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -13,6 +13,7 @@
 from dandelionwinch import utils
 
 FORWARD_TIMEOUT_S = 1.5
+# Buckets without known unresolved claims are read again after this time.
 FULL_SCAN_INTERVAL_S = 30.0
 BACKLOG_RETRY_S = 1.0
 MAX_PENDING_PER_BUCKET = 4096
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -43,8 +43,9 @@
 class Core:
     """Runs all tasks of an instance in one event loop.
 
-    The loop has a thread of its own, and only that thread changes state.
-    Other threads send a message with ``request`` and wait for the reply.
+    The loop has a thread of its own. Other threads send a message with
+    ``request`` and wait for the reply; they change no state, apart from
+    ``drain``, which clears ``accepting``.
 
     Args:
         cfg: EntrySettings.
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -9,6 +9,7 @@
 from dandelionwinch import placement
 from dandelionwinch import settings
 
+# Longest useful wait for the first token.
 MAX_WAIT_S = 5.0
 # Traffic that a job causes on a link between regions.
 BYTES_PER_PROMPT_TOKEN = 6
@@ -157,7 +158,7 @@
         here = self._core.data_centre
         region = catalog.region_of(here)
         link = catalog.link()
-        sites = []
+        candidates = []
         for pool in pools:
             extra_s = 0.0
             if pool.data_centre != here:
@@ -169,9 +170,11 @@
                 for upstream in catalog.upstreams_of(pool.name)
                 if upstream.state is settings.UpstreamState.ACTIVE
             )
-            sites.append(placement.Site(pool.name, names, extra_s))
-        sites.sort(key=lambda site: (site.extra_s, site.name))
-        return sites
+            candidates.append(placement.Site(pool.name, names, extra_s))
+        candidates.sort(
+            key=lambda candidate: (candidate.extra_s, candidate.name)
+        )
+        return candidates
 
     def _record_placement(self, message, choice, now):
         record = self.job_history.get(message.job_id)
@@ -198,9 +201,10 @@
         return trend
 
     def _record_refused_demand(self, pools, job, now):
-        """Adds a refused job to the demand of the pool preferred for it.
+        """Adds a refused job to the demand of a local pool of its model.
 
-        Without this a full pool would show no demand beyond its capacity.
+        If there is none, the first pool counts. Without refused jobs, the
+        demand of a full pool would never exceed its capacity.
         """
         nearby = [
             p for p in pools if p.data_centre == self._core.data_centre
@@ -253,6 +257,7 @@
                 unavailable = core.load_reports.is_unavailable(
                     upstream.name, now
                 )
+                # Spreads jobs over upstreams of the same preference.
                 tie_breaker = zlib.crc32(
                     f'{message.job_id}{upstream.name}'.encode()
                 )
