--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -155,13 +155,13 @@
 
     def _candidate_pools(self, pools, query):
         catalog = self._core.catalog
-        here = self._core.data_centre
-        region = catalog.region_of(here)
+        local_data_centre = self._core.data_centre
+        region = catalog.region_of(local_data_centre)
         link = catalog.link()
         candidates = []
         for pool in pools:
             extra_s = 0.0
-            if pool.data_centre != here:
+            if pool.data_centre != local_data_centre:
                 extra_s = link.latency_s
             if catalog.region_of(pool.data_centre) != region:
                 extra_s += 2 * link.latency_s + _transfer_cost_s(link, query)
@@ -340,7 +340,7 @@
         core.event(f'job.{message.state}', record.id, message.code)
 
     def demands(self, now):
-        """Returns the rates of demand at this instance by pool, for peers."""
+        """Returns the demand at this instance by pool, as Trend.rates()."""
         return {pool: trend.rates(now) for pool, trend in self.trends.items()}
 
 
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -14,8 +14,8 @@
 from dandelionwinch import timeline
 
 EVENTS_PER_INSTANCE = 4096
-ACCEPT_TIMEOUT_S = 6.0
-ACCEPT_POLL_S = 0.1
+ROLLOUT_TIMEOUT_S = 6.0
+ROLLOUT_POLL_S = 0.1
 
 
 class StatementRunner:
@@ -236,7 +236,7 @@
         core.event('command.committed', f'revision {revision}', str(statement))
         if isinstance(statement, language.Undrain):
             await core.shards.end_drain(statement.name)
-        return await self._wait_for_acceptance(revision, requested_at)
+        return await self._wait_for_rollout(revision, requested_at)
 
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
@@ -248,6 +248,15 @@
             )
 
     async def _hold_before_commit(self, statement):
+        """Holds an upstream that is to be drained or retired.
+
+        New jobs stay off it at once, even if the store is down. A command
+        that requires a revision must be checked by the store first.
+
+        Returns:
+            Names of the live instances that did not confirm the hold, or
+            None if there is no hold.
+        """
         match statement:
             case language.Drain(kind='upstream') | language.Retire():
                 pass
@@ -261,6 +270,7 @@
         return await self._core.shards.hold_for_drain(name)
 
     def _held_without_commit(self, statement, unconfirmed_holds, exc):
+        """Returns the result of a drain that is held but not stored."""
         text = (
             f'upstream "{statement.name}" gets no new work from the live '
             'instances, but this is not stored: repeat the command when '
@@ -273,19 +283,19 @@
             'message': f'{text} ({exc.message})',
         }
 
-    async def _wait_for_acceptance(self, revision, requested_at):
+    async def _wait_for_rollout(self, revision, requested_at):
         core = self._core
         data_centres = membership.staffed_data_centres(core.not_gone())
-        watch = revisions.AcceptanceWatch(
+        tracker = revisions.AcceptanceWatch(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
             now = core.now()
             core.members.me.revision = core.documents.revision
-            verdict = watch.observe(core.not_gone(), now)
-            if verdict.accepted or now - requested_at > ACCEPT_TIMEOUT_S:
+            verdict = tracker.observe(core.not_gone(), now)
+            if verdict.accepted or now - requested_at > ROLLOUT_TIMEOUT_S:
                 break
-            await asyncio.sleep(ACCEPT_POLL_S)
+            await asyncio.sleep(ROLLOUT_POLL_S)
         return {
             'accepted': verdict.accepted,
             'revision': revision,
