--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -292,16 +292,16 @@
         while True:
             now = core.now()
             core.members.me.revision = core.documents.revision
-            verdict = tracker.observe(core.not_gone(), now)
-            if verdict.accepted or now - requested_at > ROLLOUT_TIMEOUT_S:
+            rollout = tracker.observe(core.not_gone(), now)
+            if rollout.accepted or now - requested_at > ROLLOUT_TIMEOUT_S:
                 break
             await asyncio.sleep(ROLLOUT_POLL_S)
         return {
-            'accepted': verdict.accepted,
+            'accepted': rollout.accepted,
             'revision': revision,
             'seconds': round(core.now() - requested_at, 3),
-            'unconfirmed': list(verdict.missing),
-            'message': verdict.reason,
+            'unconfirmed': list(rollout.missing),
+            'message': rollout.reason,
         }
 
 
