--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -15,12 +15,12 @@
     if name != 'winch':
         return _Baseline(name, rng)
     made = dispatch.EnginePlacer(distances, rng)
-    made.parts = parts
+    made.instance_count = parts
     return made
 
 
 class _Baseline:
-    """Placement without admission, lanes and paces.
+    """Placement without admission, priority classes and rate limits.
 
     ``homes`` reads the prompts of a session at one engine; ``random`` and
     ``least_load`` choose an engine for each prompt.
@@ -30,24 +30,24 @@
         self._name = name
         self._rng = rng
 
-    def place(self, prompt, beliefs, exclude, _now, **more):
+    def place(self, prompt, candidates, exclude, _now, **more):
         """Chooses engines; all prompts are equally urgent."""
-        usable = [b for b in beliefs if b.entry.id not in exclude]
+        usable = [b for b in candidates if b.entry.id not in exclude]
         readers = [b for b in usable if b.entry.role is upstreams.Role.PREFILL]
         decoders = [b for b in usable if b not in readers]
         if not decoders:
             return None
         prefill, decode = None, self._one_of(decoders, prompt)
-        lane = dispatch.Lane.ANSWER
+        priority_class = dispatch.PriorityClass.ANSWER
         if not prompt.short:
-            lane = dispatch.Lane.URGENT
+            priority_class = dispatch.PriorityClass.URGENT
             if readers:
                 prefill = self._one_of(readers, prompt)
                 decode = self._near(prefill, decoders)
         return dispatch.Placement(
             prefill,
             decode,
-            lane,
+            priority_class,
             more['late'],
             more['objective_s'],
             prompt.tokens,
@@ -69,11 +69,15 @@
                 return self._rng.choice(
                     [b for b in group if b.active == least]
                 )
-        key = prompt.shared[-1][0] if prompt.shared else self._rng.random()
+        key = (
+            prompt.shared_blocks[-1][0]
+            if prompt.shared_blocks
+            else self._rng.random()
+        )
         return max(group, key=lambda b: utils.stable_hash(key, b.entry.id))
 
     def _learn_nothing(self, *_args):
         """Takes what the product's placement learns from."""
 
     sent = prefilled = handed_over = started = ended = _learn_nothing
-    paused = handle_refused = _learn_nothing
+    token_gap = handle_refused = _learn_nothing
--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -21,7 +21,7 @@
         self._began = began
         self._returned = returned
         self._placer = day.placers[arrival.instance]
-        self._beliefs = day.beliefs[arrival.instance]
+        self._upstreams = day.upstreams[arrival.instance]
         self._round_trip_s = day.round_trip_s
         self._placement = None
         self._work = None
@@ -34,7 +34,7 @@
         kind = self._arrival.kind
         left_s = self._arrival.at + kind.deadline_s - now
         late = self._returned and left_s < RETRY_LEAST_SHARE * kind.deadline_s
-        known = [b for b in self._beliefs.values() if b.gone_at is None]
+        known = [b for b in self._upstreams.values() if b.gone_at is None]
         placement = self._placer.place(
             self._arrival.prompt,
             known,
@@ -49,15 +49,15 @@
             return
         self._placement = placement
         self._placer.sent(self._arrival.prompt, placement, now)
-        placement.reader.active += 1
+        placement.prefill_engine.active += 1
         self._day.schedule(now + left_s, self._deadline)
         stage = _engine.Stage.PREFILL
         if placement.prefill is None:
             stage = _engine.Stage.DIRECT
-        self._submit(placement.reader, stage, placement.urgency, now)
+        self._submit(placement.prefill_engine, stage, placement.priority, now)
 
-    def _submit(self, belief, stage, urgency, now, source=None):
-        engine = self._day.engines[belief.entry.id]
+    def _submit(self, upstream, stage, priority, now, source=None):
+        engine = self._day.engines[upstream.entry.id]
         first, end = self._first, self._whole
         if stage is _engine.Stage.PREFILL:
             first, end = self._read, self._ignore
@@ -65,7 +65,7 @@
             self._arrival.prompt,
             self._arrival.events,
             self._arrival.kind.event_tokens,
-            urgency,
+            priority,
             stage,
             self._delayed(first),
             self._delayed(end),
@@ -95,12 +95,12 @@
         placement = self._placement
         self._placer.prefilled(placement, now - self._sent_at, now)
         self._placer.handed_over(placement, now)
-        placement.reader.active -= 1
+        placement.prefill_engine.active -= 1
         placement.decode.active += 1
         self._submit(
             placement.decode,
             _engine.Stage.ANSWER,
-            dispatch.HANDED_OVER_URGENCY,
+            dispatch.HANDOVER_PRIORITY,
             now,
             self._day.engines[placement.prefill.entry.id],
         )
@@ -137,17 +137,17 @@
             return
         self._work.left = True
         self._finish()
-        self._day.vain_tokens += self._placement.fresh_tokens
+        self._day.vain_tokens += self._placement.uncached_tokens
         self._day.tallies[self._arrival.kind.name].unserved += 1
 
     def _finish(self):
         """Ends the request at its instance."""
         self._ended = True
         placement = self._placement
-        belief = placement.reader
+        upstream = placement.prefill_engine
         if self._work.stage is _engine.Stage.ANSWER:
-            belief = placement.decode
-        belief.active -= 1
+            upstream = placement.decode
+        upstream.active -= 1
         self._placer.ended(placement)
 
     def _refused(self, now):
--- a/dandelionwinch/claims/_bucket.py
+++ b/dandelionwinch/claims/_bucket.py
@@ -103,7 +103,7 @@
 
 
 @attrs.frozen
-class Kept:
+class StoredAnswer:
     """An answer that is to be recorded."""
 
     status: int
@@ -111,7 +111,7 @@
     body: bytes
 
 
-def close_done(key, token, kept, limit):
+def close_with_answer(key, token, kept, limit):
     """Returns the change that records an answer.
 
     A body that is small and text is kept; of others the digest is.
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -3,9 +3,9 @@
 import asyncio
 import traceback
 
-from dandelionwinch.control import _members
+from dandelionwinch.control import _order_leader
+from dandelionwinch.control import _registered
 from dandelionwinch.control import _registration
-from dandelionwinch.control import _steward
 from dandelionwinch.control import _store
 from dandelionwinch import upstreams
 
@@ -18,13 +18,13 @@
 MAX_BACKOFF_S = 1.5
 
 
-class Sync:
+class StoreSync:
     """A task that owns what is known from the store."""
 
     __slots__ = (
-        '_absence',
+        '_guard',
         '_capacity',
-        '_catalogue',
+        '_store_codec',
         '_gateway',
         '_log',
         '_loop',
@@ -40,22 +40,22 @@
     )
 
     def __init__(
-        self, loop, store, catalogue, served, capacity, log, rng, on_config
+        self, loop, store, store_codec, served, capacity, log, rng, on_config
     ):
         self._loop = loop
         self._store = store
-        self._catalogue = catalogue
+        self._store_codec = store_codec
         self._gateway = served
         self._capacity = capacity
         self._log = log
         self._rng = rng
-        self._absence = upstreams.Absence()
+        self._guard = upstreams.DeregistrationGuard()
         self._revision = 0
         self._task = None
         self._synced = False
         self._reached_at = float('-inf')
         self.holder = ''
-        self.members = _members.Members()
+        self.members = _registered.RegisteredInstances()
         self.on_config = on_config
 
     def start(self):
@@ -103,7 +103,7 @@
         if self._synced:
             self._log.event('store.lost', reason=str(exc))
         self._synced = False
-        self._absence.store_failed(self._loop.time())
+        self._guard.store_failed(self._loop.time())
 
     def _reached(self):
         if not self._synced:
@@ -117,7 +117,7 @@
         self._revision = listing.revision
         self._reached()
         keys = {item.key for item in listing.items}
-        if _steward.HOLDER_KEY not in keys:
+        if _order_leader.HOLDER_KEY not in keys:
             self.holder = ''
         # Announced changes are judged by the entries of their engines.
         ordered = sorted(listing.items, key=_is_change)
@@ -125,10 +125,10 @@
             self._apply(item, now)
         self._vanish(
             [
-                belief.entry.id
-                for belief in self._gateway.fleet.beliefs
-                if belief.gone_at is None
-                and self._catalogue.key_of(belief.entry.id) not in keys
+                upstream.entry.id
+                for upstream in self._gateway.fleet.registry
+                if upstream.gone_at is None
+                and self._store_codec.key_of(upstream.entry.id) not in keys
             ],
             now,
         )
@@ -138,7 +138,7 @@
         self._settle(now)
 
     async def _watch(self):
-        due_s = self._absence.next_due_s(self._loop.time())
+        due_s = self._guard.next_due_s(self._loop.time())
         wait_s = WATCH_S if due_s is None else min(WATCH_S, due_s)
         listing = await self._store.watch(EVERYTHING, self._revision, wait_s)
         now = self._loop.time()
@@ -146,7 +146,7 @@
         self._reached()
         gone = []
         for item in listing.items:
-            upstream_id = self._catalogue.upstream_of(item.key)
+            upstream_id = self._store_codec.upstream_of(item.key)
             if upstream_id is not None and item.value is None:
                 gone.append(upstream_id)
                 continue
@@ -164,16 +164,16 @@
         return min(MAX_COALESCE_S, COALESCE_S + INSTANCE_S * instances)
 
     def _apply(self, item, now):
-        upstream_id = self._catalogue.upstream_of(item.key)
-        if item.key == self._catalogue.config_key:
+        upstream_id = self._store_codec.upstream_of(item.key)
+        if item.key == self._store_codec.config_key:
             self._apply_config(item)
         elif upstream_id is not None:
             self._apply_upstream(upstream_id, item, now)
         elif item.key.startswith(_registration.INSTANCE_PREFIX):
             self._apply_instance(item)
-        elif item.key == _steward.HOLDER_KEY:
+        elif item.key == _order_leader.HOLDER_KEY:
             self.holder = (item.value or b'').decode(errors='replace')
-        elif item.key == _steward.SIZE_KEY:
+        elif item.key == _order_leader.SIZE_KEY:
             self._apply_size(item)
         elif _is_change(item):
             self._apply_change(item)
@@ -186,19 +186,19 @@
     def _apply_change(self, item):
         if item.value is None:
             return
-        name = item.key.removeprefix(_steward.CHANGE_PREFIX)
+        name = item.key.removeprefix(_order_leader.CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
-        belief = self._gateway.fleet.beliefs.get(name)
-        if belief is None or belief.entry.role.value == role:
+        upstream = self._gateway.fleet.registry.get(name)
+        if upstream is None or upstream.entry.role.value == role:
             return
-        self._gateway.changing(name, _steward.CHANGE_S)
+        self._gateway.begin_role_change(name, _order_leader.CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
         if item.value is None:
             return
         try:
-            table = self._catalogue.read_config(item.value)
+            table = self._store_codec.read_config(item.value)
         except _store.EntryInvalid as exc:
             self._log.event('config.invalid', finding=exc.message)
             return
@@ -212,20 +212,20 @@
         self.on_config(table)
 
     def _apply_upstream(self, name, item, now):
-        beliefs = self._gateway.fleet.beliefs
+        registry = self._gateway.fleet.registry
         try:
-            entry = self._catalogue.read_upstream(name, item.value)
+            entry = self._store_codec.read_upstream(name, item.value)
         except _store.EntryInvalid as exc:
             self._log.event('upstream.invalid', finding=exc.message)
-            beliefs.remove(name, now)
+            registry.remove(name, now)
             return
-        known = beliefs.get(name)
+        known = registry.get(name)
         before = known.entry if known else None
-        self._absence.returned(name)
-        if beliefs.apply(entry):
+        self._guard.registered(name)
+        if registry.apply(entry):
             self._gateway.placer.forget(name)
         if before is not None and before.role is not entry.role:
-            self._gateway.changed(name)
+            self._gateway.end_role_change(name)
         if before is None or (before.ready, before.role, before.born) != (
             entry.ready,
             entry.role,
@@ -244,19 +244,21 @@
 
     def _vanish(self, upstream_ids, now):
         known = sum(
-            1 for b in self._gateway.fleet.beliefs if b.gone_at is None
+            1 for b in self._gateway.fleet.registry if b.gone_at is None
         )
-        for name in self._absence.vanished(upstream_ids, known, now):
+        for name in self._guard.deregistered(upstream_ids, known, now):
             self._gone(name, now, held=False)
 
     def _settle(self, now):
         """Does what is due after each answer of the store."""
-        self._gateway.set_parts(self.members.parts(self._capacity, now))
-        for name in self._absence.due(now):
+        self._gateway.set_instance_count(
+            self.members.parts(self._capacity, now)
+        )
+        for name in self._guard.due(now):
             self._gone(name, now, held=True)
 
     def _gone(self, name, now, held):
-        self._gateway.fleet.beliefs.remove(name, now)
+        self._gateway.fleet.registry.remove(name, now)
         self._log.event('upstream.gone', upstream=name, held=held)
 
     def _apply_instance(self, item):
@@ -278,4 +280,4 @@
 
 
 def _is_change(item):
-    return item.key.startswith(_steward.CHANGE_PREFIX)
+    return item.key.startswith(_order_leader.CHANGE_PREFIX)
--- a/dandelionwinch/daemon/_earnings.py
+++ b/dandelionwinch/daemon/_earnings.py
@@ -31,12 +31,12 @@
             record: The jobs.JobRecord.
             tokens: Output tokens of the answer.
         """
-        self.ledger.book(record.id, record.team, tokens)
+        self.ledger.record_job(record.id, record.team, tokens)
 
     async def _write_if_due(self):
         core = self._core
         now = core.now()
-        period_s = earnings.write_period(
+        period_s = earnings.write_interval_s(
             core.cfg.timing.earnings_s, len(core.members.live(now))
         )
         if now - self._written_at >= period_s * DUE_RATIO:
--- a/dandelionwinch/daemon/_heartbeats.py
+++ b/dandelionwinch/daemon/_heartbeats.py
@@ -40,19 +40,19 @@
         core = self._core
         listed = await core.run_blocking(core.live_list.fetch)
         if listed is None:
-            core.departures.unread()
+            core.departures.list_unavailable()
             return
-        core.members.overlay(listed)
-        core.departures.listed(line.name for line in listed)
+        core.members.merge_list(listed)
+        core.departures.list_read(line.name for line in listed)
 
     async def _send_heartbeats(self):
         core = self._core
         now = core.now()
-        for peer in core.members.everyone():
-            core.departures.restarted(peer.name, peer.member.incarnation)
+        for peer in core.members.all_instances():
+            core.departures.saw_incarnation(peer.name, peer.member.incarnation)
         addresses = core.members.tick(now)
-        core.members.me.jobs = core.scheduler.running_jobs()
-        core.members.me.revision = core.documents.revision
+        core.members.local.jobs = core.scheduler.running_jobs()
+        core.members.local.revision = core.documents.revision
         core.metrics.members.set(len(core.members.live(now)))
         core.metrics.ready.set(0 if core.unready_reason() else 1)
         await asyncio.gather(*(self._exchange(a) for a in addresses))
@@ -61,11 +61,11 @@
         """Sends a heartbeat to every live peer at once."""
         core = self._core
         core.members.tick(core.now())
-        core.members.me.revision = core.documents.revision
+        core.members.local.revision = core.documents.revision
         peers = [
             peer.member.peer_address
             for peer in core.members.live(core.now())
-            if peer is not core.members.me
+            if peer is not core.members.local
         ]
         await asyncio.gather(*(self._exchange(a) for a in peers))
 
@@ -80,7 +80,9 @@
             return
         await self.receive(address, reply)
         if reply.revision <= core.documents.revision:
-            core.freshness.heard(reply.sender.data_centre, requested_at, reply)
+            core.freshness.merge_ages(
+                reply.sender.data_centre, requested_at, reply
+            )
 
     def build_digest(self, peer_address, data_centre):
         """Builds the digest for a peer.
@@ -96,14 +98,14 @@
         digest = core.members.digest(now, data_centre)
         digest.asked.extend(self._unknown_ids.pop(peer_address, ()))
         digest.revision = core.documents.revision
-        core.freshness.tell(digest, now)
+        core.freshness.add_ages(digest, now)
         is_near = data_centre in (None, core.data_centre)
         digest.loads.extend(
             core.load_reports.recent(
                 now, None if is_near else MAX_LOADS_ACROSS_DATA_CENTRES
             )
         )
-        for team, rate in core.scheduler.admission.uses(now).items():
+        for team, rate in core.scheduler.admission.rates_by_team(now).items():
             digest.uses.add(team=team, jobs_per_s=rate)
         sent = core.scheduler.placer.own_rates(now)
         for pool, rates in core.scheduler.demands(now).items():
@@ -139,7 +141,9 @@
             core.event('instance.seen', name)
         core.load_reports.merge(digest.loads, now)
         uses = {item.team: item.jobs_per_s for item in digest.uses}
-        core.scheduler.admission.peer_uses(digest.sender.name, uses, now)
+        core.scheduler.admission.record_peer_rates(
+            digest.sender.name, uses, now
+        )
         self.demands[digest.sender.name] = (now, _demand_rates(digest))
         sent = {item.pool: item.sent for item in digest.demands}
         self._sent_rates[digest.sender.name] = (now, sent)
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -108,7 +108,7 @@
         others = [
             peer
             for peer in core.members.live(core.now())
-            if peer is not core.members.me
+            if peer is not core.members.local
         ]
         replies = await asyncio.gather(
             *(
--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -64,7 +64,7 @@
         }
         if not nearby:
             return None
-        name = placement.usual_decider(nearby, core.data_centre, model)
+        name = placement.choose_owner(nearby, core.data_centre, model)
         if name == core.name or self._backoff_until.get(name, now) > now:
             return None
         return nearby[name]
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -30,9 +30,9 @@
 
     def __init__(self, core):
         self._core = core
-        self.job_history = jobs.JobBook()
+        self.job_history = jobs.JobHistory()
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
-        self.estimates = placement.Beliefs()
+        self.estimates = placement.LoadEstimates()
         self.placer = placement.Placer(self.estimates, core.rng)
         self._retry_budgets = {}
         self.trends = {}
@@ -75,7 +75,7 @@
         record = jobs.JobRecord(
             message.job_id, message.team, message.target, now
         )
-        self.job_history.open(record)
+        self.job_history.add(record)
         core.metrics.running.set(self.admission.jobs)
         core.event('job.admitted', message.job_id, message.target)
 
@@ -143,7 +143,7 @@
             output_tokens=query.output_tokens,
             prefix=query.prefix,
             prefix_tokens=query.prompt_tokens,
-            patience_s=MAX_WAIT_S,
+            max_wait_s=MAX_WAIT_S,
             gap_s=model.token_gap_s,
             exclude=query.exclude,
         )
@@ -160,19 +160,23 @@
         link = catalog.link()
         candidates = []
         for pool in pools:
-            extra_s = 0.0
+            link_cost_s = 0.0
             if pool.data_centre != local_data_centre:
-                extra_s = link.latency_s
+                link_cost_s = link.latency_s
             if catalog.region_of(pool.data_centre) != region:
-                extra_s += 2 * link.latency_s + _transfer_cost_s(link, query)
+                link_cost_s += 2 * link.latency_s + _transfer_cost_s(
+                    link, query
+                )
             names = tuple(
                 upstream.name
                 for upstream in catalog.upstreams_of(pool.name)
                 if upstream.state is settings.UpstreamState.ACTIVE
             )
-            candidates.append(placement.Site(pool.name, names, extra_s))
+            candidates.append(
+                placement.CandidatePool(pool.name, names, link_cost_s)
+            )
         candidates.sort(
-            key=lambda candidate: (candidate.extra_s, candidate.name)
+            key=lambda candidate: (candidate.link_cost_s, candidate.name)
         )
         return candidates
 
@@ -329,11 +333,11 @@
             return
         record.tokens = message.tokens
         team = self._team(record.team)
-        self.admission.finish(team.name)
+        self.admission.release(team.name)
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
-            self._retry_budget(record.target).succeeded()
+            self._retry_budget(record.target).record_success()
             core.load_reports.reset_backoff(record.upstream)
             core.metrics.tokens.inc(message.tokens)
             core.earnings.record_job(record, message.tokens)
@@ -356,7 +360,7 @@
 
 
 def _load_estimate(upstream, data_centre):
-    return placement.Belief(
+    return placement.LoadEstimate(
         name=upstream.name,
         data_centre=data_centre,
         role=upstream.role,
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -71,7 +71,7 @@
     async def _poll(self):
         core = self._core
         now = core.now()
-        polls_fast = core.members.me in core.members.speakers(
+        polls_fast = core.members.local in core.members.delegates(
             core.data_centre, now
         )
         if polls_fast or now - self._polled_at >= core.cfg.store.poll_s:
@@ -112,7 +112,7 @@
         """Returns the DocumentsReply to a peer's DocumentsRequest."""
         held = self._core.documents
         reply = peer_pb2.DocumentsReply(revision=held.revision)
-        for document in held.after(request.after):
+        for document in held.changed_since(request.after):
             reply.documents.add(
                 path=document.path,
                 revision=document.revision,
@@ -162,7 +162,7 @@
         if wanted is None:
             return
         if wanted.state is settings.UpstreamState.ACTIVE:
-            core.members.stay()
+            core.members.cancel_leave()
         else:
             core.members.leave()
 
@@ -177,7 +177,7 @@
             The new revision.
 
         Raises:
-            StoreDown: If the store was not reached.
+            StoreUnavailable: If the store was not reached.
             OutcomeUnknown: If the change may or may not be committed.
             SettingsInvalid: If the result is invalid, with all findings.
         """
@@ -204,7 +204,7 @@
                     'the store did not answer; the change may be in force '
                     'soon: ask "show settings" before trying again'
                 )
-        raise errors.StoreDown(
+        raise errors.StoreUnavailable(
             'the store was not reached; nothing was changed',
             retry_after_s=5.0,
         )
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -35,7 +35,7 @@
         """Returns the coroutines of the background tasks."""
         timing = self._core.cfg.timing
         rng = self._core.rng
-        period_s = timing.lease_s / orders.STEPS_PER_LEASE
+        period_s = timing.lease_s / orders.RENEWALS_PER_LEASE
         yield _periodic.every(period_s, self._renew_leases, rng)
         yield _periodic.every(timing.load_s, self._advance_all_orders, rng)
         yield _periodic.every(1.0, self._renew_drains, rng)
@@ -44,7 +44,7 @@
         return [p for p in self._core.catalog.all('pool') if p.model]
 
     def shard_lease(self, shard_name):
-        """Returns the orders.Authority of a shard, or None."""
+        """Returns the orders.ShardLease of a shard, or None."""
         return self._shard_leases.get(shard_name)
 
     def frozen_reason(self, upstream_name):
@@ -71,7 +71,7 @@
 
     def _should_acquire(self, name, pool, now):
         core = self._core
-        if core.members.me.leaving or core.unready_reason():
+        if core.members.local.leaving or core.unready_reason():
             return False
         usable = core.members.usable(now)
         nearby = [
@@ -80,10 +80,10 @@
         if not nearby:
             return False
         best = max(nearby, key=lambda peer: utils.stable_hash(name, peer.name))
-        return best is core.members.me
+        return best is core.members.local
 
     async def _renew_or_release(self, name, pool, lease, now):
-        if self._core.members.me.leaving:
+        if self._core.members.local.leaving:
             await self._core.run_program(lease.release())
             self._core.event('shard.released', name)
         else:
@@ -93,7 +93,7 @@
         core = self._core
         lease = self._shard_leases.get(name)
         if lease is None:
-            lease = orders.Authority(
+            lease = orders.ShardLease(
                 name, core.name, core.incarnation, core.cfg.timing
             )
             self._shard_leases[name] = lease
@@ -151,7 +151,7 @@
         executor = self._executors.get(lease)
         if executor is None:
             settle_s = self._core.cfg.timing.gone_margin_s
-            executor = orders.Conductor(lease, settle_s)
+            executor = orders.OrderExecutor(lease, settle_s)
             self._executors[lease] = executor
         return executor
 
@@ -190,7 +190,7 @@
     def _desired_role(self, shard, upstream, role):
         source = self._core.documents.revision_of(f'upstream/{upstream.name}')
         order_id = f'{upstream.name}-{shard.epoch + 1}'
-        return orders.Wish(str(role), source, order_id)
+        return orders.DesiredRole(str(role), source, order_id)
 
     async def _hold(self, upstream_name, order_id):
         core = self._core
@@ -208,8 +208,8 @@
             for name, reply in replies.items()
             if reply is not None
         }
-        names = [peer.name for peer in core.members.may_live(core.now())]
-        return orders.Hold(tuple(names), reports)
+        names = [peer.name for peer in core.members.maybe_alive(core.now())]
+        return orders.HoldState(tuple(names), reports)
 
     async def _send(self, lease, upstream, order):
         core = self._core
@@ -217,7 +217,7 @@
         def send():
             # Checked in the worker thread, right before sending, as the
             # lease may end while the call waits for a thread.
-            if time.monotonic() >= lease.until:
+            if time.monotonic() >= lease.expires_at:
                 return None
             return core.upstreams.order(upstream.address, order)
 
@@ -318,4 +318,4 @@
     if load is None:
         return None
     jobs = load.running + load.waiting
-    return orders.Status(load.order_id, load.away, jobs, load.epoch)
+    return orders.UpstreamStatus(load.order_id, load.away, jobs, load.epoch)
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -129,7 +129,7 @@
     async def _shard_rows(self, table):
         reply = await self._core.call_store(effects.Scan('shards/'))
         if not isinstance(reply, effects.Scanned):
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 f'table "{table}" is in the store, which was not reached'
             )
         rows = []
@@ -157,7 +157,7 @@
     async def _claim_rows(self):
         held = await self._core.claims.rows()
         if held is None:
-            raise errors.StoreDown(
+            raise errors.StoreUnavailable(
                 'table "claims" is in the store, which was not reached'
             )
         return [
@@ -229,7 +229,7 @@
             revision = await core.settings.change(
                 lambda documents: language.edits_of(statement, documents)
             )
-        except errors.StoreDown as exc:
+        except errors.StoreUnavailable as exc:
             if unconfirmed_holds is None:
                 raise
             return self._held_without_commit(statement, unconfirmed_holds, exc)
@@ -241,7 +241,7 @@
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
             return
-        names = {peer.name for peer in self._core.members.everyone()}
+        names = {peer.name for peer in self._core.members.all_instances()}
         if statement.name not in names:
             raise errors.NotFound(
                 f'instance "{statement.name}" does not exist'
@@ -285,13 +285,13 @@
 
     async def _wait_for_rollout(self, revision, requested_at):
         core = self._core
-        data_centres = membership.staffed_data_centres(core.not_gone())
-        tracker = revisions.AcceptanceWatch(
+        data_centres = membership.populated_data_centres(core.not_gone())
+        tracker = revisions.RolloutTracker(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
             now = core.now()
-            core.members.me.revision = core.documents.revision
+            core.members.local.revision = core.documents.revision
             rollout = tracker.observe(core.not_gone(), now)
             if rollout.accepted or now - requested_at > ROLLOUT_TIMEOUT_S:
                 break
@@ -300,7 +300,7 @@
             'accepted': rollout.accepted,
             'revision': revision,
             'seconds': round(core.now() - requested_at, 3),
-            'unconfirmed': list(rollout.missing),
+            'unconfirmed': list(rollout.unconfirmed),
             'message': rollout.reason,
         }
 
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -104,11 +104,11 @@
             'state': _instance_state(peer, live),
             'jobs': peer.jobs,
             'revision': peer.revision,
-            'silent_s': round(max(0.0, now - peer.heard_at), 2),
+            'silent_s': round(max(0.0, now - peer.heartbeat_at), 2),
             'listed': peer.listed,
             'address': peer.member.client_address,
         }
-        for peer in core.members.everyone()
+        for peer in core.members.all_instances()
     ]
 
 
--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -3,7 +3,7 @@
 from dandelionwinch import errors
 
 
-class Delivery:
+class ResponseStream:
     """Chunks on their way to a client, with exactly one ending.
 
     Iterating to the end means that every chunk was written to the
@@ -32,7 +32,7 @@
             self._end('done', '', self._tokens())
             raise
         except errors.DandelionwinchError as exc:
-            self._end(state_of(exc), exc.code, 0)
+            self._end(final_state(exc), exc.code, 0)
             raise StopIteration from None
 
     def close(self):
@@ -46,7 +46,7 @@
             finish(state, code, tokens)
 
 
-def state_of(exc):
+def final_state(exc):
     """Returns the state of a job that ended with an error."""
-    unknown = exc.truth is errors.Truth.UNKNOWN
+    unknown = exc.execution is errors.ExecutionStatus.UNKNOWN
     return 'unknown' if unknown else 'refused'
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -57,7 +57,7 @@
         '_running',
         '_speeds',
         '_transfers',
-        'parts',
+        'instance_count',
     )
 
     def __init__(self, distances, rng):
@@ -69,7 +69,7 @@
         self._speeds = _speeds.Speeds()
         self._running = _running.Running()
         self._paces = {}
-        self.parts = 1.0
+        self.instance_count = 1.0
 
     def place(
         self, prompt, beliefs, exclude, now, *, direct, late, objective_s
@@ -89,20 +89,20 @@
             A Placement, or None if no engine has room for it.
         """
         fresh = [b for b in beliefs if b.entry.id not in exclude]
-        settled = [b for b in fresh if b.changing_until <= now]
+        settled = [b for b in fresh if b.role_change_until <= now]
         usable = upstreams.available(settled or fresh, now)
         layout = _layout.lay_out(usable)
         if layout is None:
             return None
 
-        def placed(chosen, lane):
+        def placed(chosen, priority_class):
             return self._placement(
-                prompt, chosen, layout, lane, late, objective_s, now
+                prompt, chosen, layout, priority_class, late, objective_s, now
             )
 
         if prompt.short:
             chosen = self._answer_host(layout, now)
-            return placed(chosen, _prompts.Lane.ANSWER)
+            return placed(chosen, _prompts.PriorityClass.ANSWER)
         takers = layout.decoders if direct else layout.readers
         homes = self._homes(prompt, takers, layout, now)
         if not late:
@@ -113,10 +113,10 @@
                     prompt, belief.entry.id, now
                 )
                 if self._admits(belief, tokens, layout, objective_s, now):
-                    return placed(belief, _prompts.Lane.URGENT)
+                    return placed(belief, _prompts.PriorityClass.URGENT)
         for belief in homes:
             if self._has_background_room(belief, layout, late, now):
-                return placed(belief, _prompts.Lane.BACKGROUND)
+                return placed(belief, _prompts.PriorityClass.BACKGROUND)
         return None
 
     def _homes(self, prompt, takers, layout, now):
@@ -166,12 +166,12 @@
                 return min(room, key=cost_s)
         return min(layout.decoders, key=cost_s)
 
-    def answers(self, now):
+    def peak_decodes(self, now):
         """Returns the recent peak of answers that all instances make."""
-        return self._running.peak_of_answers(now) * self.parts
+        return self._running.peak_of_answers(now) * self.instance_count
 
     def _has_slot(self, belief):
-        slots = ANSWER_SLOT_SHARE * belief.entry.slots / self.parts
+        slots = ANSWER_SLOT_SHARE * belief.entry.slots / self.instance_count
         return self._running.answers(belief.entry.id) < max(1.0, slots)
 
     def _answer_cost_s(self, belief, now):
@@ -189,7 +189,7 @@
             return False
         if self._delay_s(belief, now) > BACKGROUND_DELAY_S:
             return False
-        room = BACKGROUND_PER_SLOT * belief.entry.slots / self.parts
+        room = BACKGROUND_PER_SLOT * belief.entry.slots / self.instance_count
         if late:
             room *= RETURNED_ROOM
         return self._running.background(belief.entry.id) < max(1.0, room)
@@ -203,7 +203,11 @@
 
     def _rank(self, prompt, layout):
         """Returns the function that ranks engines for a prompt's session."""
-        key = prompt.shared[-1][0] if prompt.shared else self._rng.random()
+        key = (
+            prompt.shared_blocks[-1][0]
+            if prompt.shared_blocks
+            else self._rng.random()
+        )
 
         def score(belief):
             weight = self._weight(belief, layout)
@@ -214,11 +218,15 @@
     def _pace(self, belief, now):
         pace = self._paces.get(belief.entry.id)
         if pace is None:
-            pace = _pace.Pace(self._speed(belief), self.parts, now)
+            pace = _pace.RateLimiter(
+                self._speed(belief), self.instance_count, now
+            )
             self._paces[belief.entry.id] = pace
         return pace
 
-    def _placement(self, prompt, chosen, layout, lane, late, objective_s, now):
+    def _placement(
+        self, prompt, chosen, layout, priority_class, late, objective_s, now
+    ):
         tokens = prompt.tokens - self._cached.hit(prompt, chosen.entry.id, now)
         work_s = self._round_trip_s(chosen) + tokens / self._speed(chosen)
         terms = (
@@ -232,7 +240,14 @@
             decode = self._partner(chosen, layout, now)
             work_s += HANDOVER_S + self._round_trip_s(decode)
         return _prompts.Placement(
-            prefill, decode, lane, late, objective_s, tokens, work_s, terms
+            prefill,
+            decode,
+            priority_class,
+            late,
+            objective_s,
+            tokens,
+            work_s,
+            terms,
         )
 
     def _partner(self, reader, layout, now):
@@ -288,9 +303,9 @@
 
     def sent(self, prompt, placement, now):
         """Notes that an engine gets a prompt."""
-        upstream_id = placement.reader.entry.id
+        upstream_id = placement.prefill_engine.entry.id
         self._cached.sent(prompt, upstream_id, now)
-        if placement.lane is _prompts.Lane.URGENT:
+        if placement.priority_class is _prompts.PriorityClass.URGENT:
             due_at = now + placement.work_s
             self._overdue.sent(upstream_id, placement, due_at)
         self._running.sent(placement, now)
@@ -314,7 +329,7 @@
 
     def ended(self, placement):
         """Notes that an engine no longer has a prompt."""
-        self._overdue.done(placement.reader.entry.id, placement)
+        self._overdue.done(placement.prefill_engine.entry.id, placement)
         self._answered(placement)
         self._running.ended(placement)
 
@@ -328,7 +343,7 @@
         """
         reader = placement.prefill
         self._overdue.done(reader.entry.id, placement)
-        tokens = placement.fresh_tokens
+        tokens = placement.uncached_tokens
         work_s = self._round_trip_s(reader) + tokens / self._speed(reader)
         self._learn(reader, placement, taken_s, work_s, now)
 
@@ -358,16 +373,16 @@
             self._pace(reader, now).slow_down(now)
 
     def _learn(self, reader, placement, taken_s, work_s, now):
-        if placement.lane is _prompts.Lane.BACKGROUND:
+        if placement.priority_class is _prompts.PriorityClass.BACKGROUND:
             reader.succeeded(reader.excess_s, now)
             return
         excess_s = taken_s - work_s
         reader.succeeded(excess_s, now)
-        if placement.lane is _prompts.Lane.ANSWER:
+        if placement.priority_class is _prompts.PriorityClass.ANSWER:
             return
         self._speeds.learn(
             reader.entry,
-            placement.fresh_tokens,
+            placement.uncached_tokens,
             taken_s - self._round_trip_s(reader),
         )
         stuck_s = self._transfers.overdue_s(reader, now)
@@ -375,11 +390,11 @@
             max(excess_s, stuck_s),
             placement.objective_s,
             self._speed(reader),
-            self.parts,
+            self.instance_count,
             now,
         )
 
-    def paused(self, placement, gap_s, allowed_s, now):
+    def token_gap(self, placement, gap_s, allowed_s, now):
         """Learns from the pause between two events of an answer."""
         if allowed_s and gap_s > PAUSE_SHARE * allowed_s:
             belief = placement.decode
--- a/dandelionwinch/dispatch/_running.py
+++ b/dandelionwinch/dispatch/_running.py
@@ -34,7 +34,7 @@
     def sent(self, placement, now):
         """Notes that an engine gets a prompt."""
         self._add(placement, 1)
-        if placement.lane is _prompts.Lane.ANSWER:
+        if placement.priority_class is _prompts.PriorityClass.ANSWER:
             self._peak = self.peak_of_answers(now)
             self._peak_at = now
 
@@ -43,14 +43,14 @@
         self._add(placement, -1)
 
     def _add(self, placement, change):
-        match placement.lane:
-            case _prompts.Lane.ANSWER:
+        match placement.priority_class:
+            case _prompts.PriorityClass.ANSWER:
                 counts = self._answers
-            case _prompts.Lane.BACKGROUND:
+            case _prompts.PriorityClass.BACKGROUND:
                 counts = self._background
             case _:
                 return
-        upstream_id = placement.reader.entry.id
+        upstream_id = placement.prefill_engine.entry.id
         left = counts.get(upstream_id, 0) + change
         if left:
             counts[upstream_id] = left
--- a/dandelionwinch/gateway/_generation.py
+++ b/dandelionwinch/gateway/_generation.py
@@ -28,7 +28,7 @@
         prompt = self._inquiry.prompt
         placement = self._gateway.placer.place(
             prompt,
-            self._fleet.beliefs.serving(self._service),
+            self._fleet.registry.serving(self._service),
             self._tried | self._full,
             now,
             direct=bool(self._attempt),
@@ -66,34 +66,36 @@
         )
 
     async def _prefill(self, placement):
-        belief = placement.prefill
-        sending = self._sending(
-            belief, prefill_only=True, urgency=placement.urgency
+        upstream = placement.prefill
+        params = self._sending(
+            upstream, prefill_only=True, priority=placement.priority
         )
-        pool, conn = await self._take(belief)
+        pool, conn = await self._take(upstream)
         try:
-            async with self._talk(belief, pool, conn) as talk:
-                handle = await self._ask_prefill(talk, sending, placement.lane)
+            async with self._talk(upstream, pool, conn) as talk:
+                handle = await self._ask_prefill(
+                    talk, params, placement.priority_class
+                )
         except _conversation.AttemptFailed as exc:
             self._attempt += 1
             raise _conversation.AttemptFailed(
-                attempts.Fate.NOT_EXECUTED, f'prefill: {exc}'
+                attempts.AttemptOutcome.NOT_EXECUTED, f'prefill: {exc}'
             ) from exc
-        return f'{belief.entry.address}/{handle}'
+        return f'{upstream.entry.address}/{handle}'
 
-    async def _ask_prefill(self, talk, sending, lane):
-        talk.send(sending)
+    async def _ask_prefill(self, talk, params, priority_class):
+        talk.send(params)
         patience_s = self._left_s()
-        if lane is not dispatch.Lane.BACKGROUND:
+        if priority_class is not dispatch.PriorityClass.BACKGROUND:
             patience_s = PREFILL_SILENCE_FACTOR * self._route.objective_s
         head = await talk.head(patience_s)
         body = await talk.body(patience_s)
-        reply = self._gateway.dialect.reply(head)
-        handle = self._gateway.dialect.handle(body)
+        reply = self._gateway.wire_codec.parse_reply(head)
+        handle = self._gateway.wire_codec.parse_kv_handle(body)
         if head.status != 200 or not handle:
-            fate = attempts.Fate.UNKNOWN
+            fate = attempts.AttemptOutcome.UNKNOWN
             if reply.not_executed:
-                fate = attempts.Fate.NOT_EXECUTED
+                fate = attempts.AttemptOutcome.NOT_EXECUTED
             raise _conversation.AttemptFailed(
                 fate, f'status {head.status}, no handle'
             )
@@ -102,10 +104,10 @@
     def _settled(self, placement):
         """Returns the placement with an engine that still takes requests."""
         now = self._loop.time()
-        if self._fleet.beliefs.serves(placement.decode):
+        if self._fleet.registry.serves(placement.decode):
             return placement
         other = self._gateway.placer.replace_decoder(
-            placement, self._fleet.beliefs.serving(self._service), now
+            placement, self._fleet.registry.serving(self._service), now
         )
         if other is None:
             raise self._nowhere()
@@ -115,7 +117,7 @@
         try:
             await self._answer_at(placement, source, began)
         except _conversation.AttemptFailed as exc:
-            gone = source and exc.fate is attempts.Fate.NOT_EXECUTED
+            gone = source and exc.fate is attempts.AttemptOutcome.NOT_EXECUTED
             if not gone or isinstance(exc, _conversation.NoFurtherAttempt):
                 raise
             # The handle may be gone; the engine can read the prompt itself.
@@ -127,21 +129,21 @@
             await self._answer_at(direct, '', now)
 
     async def _answer_at(self, placement, source, began):
-        belief = placement.decode
-        pool, conn = await self._connect(belief)
-        urgency = placement.urgency
+        upstream = placement.decode
+        pool, conn = await self._connect(upstream)
+        priority = placement.priority
         if source:
-            urgency = dispatch.HANDED_OVER_URGENCY
+            priority = dispatch.HANDOVER_PRIORITY
             self._gateway.placer.handed_over(placement, self._loop.time())
-        sending = self._sending(belief, source=source, urgency=urgency)
-        async with self._talk(belief, pool, conn) as talk:
-            await self._stream(talk, sending, placement, began)
+        params = self._sending(upstream, kv_source=source, priority=priority)
+        async with self._talk(upstream, pool, conn) as talk:
+            await self._stream(talk, params, placement, began)
 
-    async def _stream(self, talk, sending, placement, began):
-        talk.send(sending)
+    async def _stream(self, talk, params, placement, began):
+        talk.send(params)
         patience_s = self._patience_s()
         head = await talk.head(patience_s)
-        reply = self._gateway.dialect.reply(head)
+        reply = self._gateway.wire_codec.parse_reply(head)
         if head.status != 200 or not reply.signed or reply.not_executed:
             await self._whole_failure(talk, head, placement.decode, patience_s)
             return
@@ -157,14 +159,14 @@
                     self._started(placement, began)
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
-                    self._gateway.placer.paused(
-                        placement, now - last_at, self._route.gap_s, now
+                    self._gateway.placer.token_gap(
+                        placement, now - last_at, self._route.event_gap_s, now
                     )
                 last_at = now
                 await self._deliver(head, event)
         if splitter.torn:
             raise _conversation.AttemptFailed(
-                attempts.Fate.UNKNOWN, 'a torn event'
+                attempts.AttemptOutcome.UNKNOWN, 'a torn event'
             )
         self._end_stream(head, placement)
 
@@ -184,7 +186,7 @@
             return splitter.feed(data)
         except ValueError as exc:
             raise _conversation.AttemptFailed(
-                attempts.Fate.UNKNOWN, str(exc)
+                attempts.AttemptOutcome.UNKNOWN, str(exc)
             ) from exc
 
     async def _deliver(self, head, event):
@@ -203,12 +205,13 @@
         self.first_event_s = self.first_event_s or now - self._began
         self._gateway.placer.started(placement, now - began, now)
 
-    async def _whole_failure(self, talk, head, belief, patience_s):
+    async def _whole_failure(self, talk, head, upstream, patience_s):
         """Reads an answer that is not a stream of events."""
         answer = _conversation.Answer(head, await talk.body(patience_s))
         talk.check_executed(answer)
         if self._streaming:
             raise _conversation.AttemptFailed(
-                attempts.Fate.FAILED, f'status {head.status} on resumption'
+                attempts.AttemptOutcome.FAILED,
+                f'status {head.status} on resumption',
             )
-        self._accept(belief, answer, self._loop.time())
+        self._accept(upstream, answer, self._loop.time())
--- a/dandelionwinch/membership/_freshness.py
+++ b/dandelionwinch/membership/_freshness.py
@@ -26,7 +26,7 @@
         """Notes a read of the newest revision, by its start time."""
         self._store_at = max(self._store_at, asked_at)
 
-    def heard(self, data_centre, asked_at, digest):
+    def merge_ages(self, data_centre, asked_at, digest):
         """Notes a peer's reply.
 
         Args:
@@ -57,7 +57,7 @@
         ages[self.data_centre] = 0.0
         return ages
 
-    def tell(self, digest, now):
+    def add_ages(self, digest, now):
         """Puts the ages into a digest for a peer."""
         digest.store_age_s = min(LONGEST_AGE_S, self.store_age(now))
         for data_centre, age_s in self.data_centre_ages(now).items():
--- a/dandelionwinch/orders/_authority.py
+++ b/dandelionwinch/orders/_lease.py
@@ -6,7 +6,7 @@
 from dandelionwinch.orders import _shard
 
 MAX_ATTEMPTS = 4
-STEPS_PER_LEASE = 3
+RENEWALS_PER_LEASE = 3
 
 
 @attrs.frozen
@@ -14,7 +14,7 @@
     """Result: this instance holds the shard until the deadline."""
 
     shard: _shard.Shard
-    until: float
+    expires_at: float
 
 
 @attrs.frozen
@@ -31,7 +31,7 @@
     reason: str
 
 
-class Authority:
+class ShardLease:
     """The lease of one shard: taking, renewing, ordering, releasing.
 
     The deadline is counted on the own monotonic clock from before the
@@ -76,7 +76,7 @@
         return self.shard is not None and now < self._deadline
 
     @property
-    def until(self):
+    def expires_at(self):
         """Time at which the lease ends for this instance."""
         return self._deadline
 
@@ -128,7 +128,7 @@
                     revision,
                 )
             else:
-                reason = self._obstacle(
+                reason = self._blocked_reason(
                     shard, all_check_fencing, is_gone, clock.now
                 )
                 if reason:
@@ -175,7 +175,7 @@
             self._seen_revision = revision
             self._seen_at = now
 
-    def _obstacle(self, shard, all_check_fencing, is_gone, now):
+    def _blocked_reason(self, shard, all_check_fencing, is_gone, now):
         if shard.released:
             return ''
         if is_gone(shard.holder, shard.incarnation, now):
--- a/dandelionwinch/platform/_dialect.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -38,12 +38,12 @@
 )
 
 
-class Dialect:
+class WireCodec:
     """The platform's headers in the gateway's types."""
 
     __slots__ = ()
 
-    def read(self, head, body):
+    def parse_request(self, head, body):
         """Returns the Inquiry of a caller's request.
 
         Raises:
@@ -56,7 +56,7 @@
             pair for pair in head.end_to_end() if pair[0] not in SYSTEM_ONLY
         )
         timeout_ms = _number(head.header(TIMEOUT_MS))
-        return gateway.Inquiry(
+        return gateway.CallerRequest(
             request_id,
             head.method,
             head.target,
@@ -67,30 +67,30 @@
             _number(head.header(LAST_EVENT_ID)),
         )
 
-    def headers(self, inquiry, sending):
+    def upstream_headers(self, req, params):
         """Returns the headers of a request to an upstream."""
-        pairs = list(inquiry.headers)
-        pairs.append((TARGET, sending.upstream_id))
-        pairs.append((TIMEOUT_MS, str(max(1, int(sending.left_s * 1e3)))))
-        if sending.last_event is not None:
-            pairs.append((LAST_EVENT_ID, str(sending.last_event)))
-        if sending.urgency is not None:
-            pairs.append((PRIORITY, str(sending.urgency)))
-        if sending.prefill_only:
+        pairs = list(req.headers)
+        pairs.append((TARGET, params.upstream_id))
+        pairs.append((TIMEOUT_MS, str(max(1, int(params.timeout_s * 1e3)))))
+        if params.last_event_id is not None:
+            pairs.append((LAST_EVENT_ID, str(params.last_event_id)))
+        if params.priority is not None:
+            pairs.append((PRIORITY, str(params.priority)))
+        if params.prefill_only:
             pairs.append((STAGE, 'prefill'))
-        if sending.source:
-            pairs.append((KV_SOURCE, sending.source))
+        if params.kv_source:
+            pairs.append((KV_SOURCE, params.kv_source))
         return pairs
 
-    def reply(self, head):
+    def parse_reply(self, head):
         """Returns the Reply of a response head."""
-        return gateway.Reply(
+        return gateway.ReplyHeaders(
             head.header(REQUEST_ID),
             bool(head.header(NOT_EXECUTED)),
             bool(head.header(SIGNATURE)),
         )
 
-    def handle(self, body):
+    def parse_kv_handle(self, body):
         """Returns the handle of a prefilled prompt, or ''."""
         try:
             value = json.loads(body)
@@ -99,7 +99,7 @@
         handle = value.get('kvHandle') if isinstance(value, dict) else None
         return handle if isinstance(handle, str) else ''
 
-    def order(self, role_order, holder, token, sequence):
+    def order_request(self, role_order, holder, token, sequence):
         """Returns method, path, headers and body of an order."""
         body = {
             'op': 'phase',
@@ -115,12 +115,12 @@
         ]
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
-    def report(self, upstream_id):
+    def report_request(self, upstream_id):
         """Returns method, path and headers of a question for a report."""
         headers = [('Host', 'engine'), (TARGET, upstream_id)]
         return 'GET', '/-/report', headers
 
-    def accepted_orders(self, body):
+    def accepted_order_count(self, body):
         """Returns the number of orders a report counts, None if busy.
 
         The `sequence` of an entry in the store counts heartbeats; only
@@ -135,7 +135,7 @@
         count = value.get('sequence')
         return count if type(count) is int else None
 
-    def come_back(self, wait_s):
+    def retry_after_headers(self, wait_s):
         """Returns the headers that say when to come back."""
         return [('Retry-After', f'{wait_s:.2f}')]
 
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -7,7 +7,7 @@
 from dandelionwinch import utils
 
 
-class Repeat(enum.Enum):
+class RetryPolicy(enum.Enum):
     """How often one request of a route may be run."""
 
     IDEMPOTENT = 'idempotent'
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Share:
+class TrafficShare:
     """A service and its relative share of a route's requests."""
 
     service: str
@@ -31,7 +31,7 @@
         prefix: Beginning of the paths, with a slash at both ends.
         timeout_s: Longest time that a caller is kept waiting.
         objective_s: Latency objective of an answer or its first event.
-        rank: Priority of the route, 0 is the highest.
+        priority: Priority of the route, 0 is the highest.
         max_attempts: Upstreams that one request may be sent to.
         sticky: Whether requests carry a prompt that upstreams cache.
         gap_s: Longest pause between events, 0 if none is stated.
@@ -40,15 +40,15 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    retry_policy: RetryPolicy
     streaming: bool
     timeout_s: float
     objective_s: float
-    rank: int
+    priority: int
     max_attempts: int
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     sticky: bool = False
-    gap_s: float = 0.0
+    event_gap_s: float = 0.0
 
     def service_for(self, request_id):
         """Returns the service of a request, by weight and id."""
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen
-class Engine:
+class EngineSpec:
     """What a service of model engines says of each of its upstreams.
 
     Attributes:
@@ -89,7 +89,7 @@
     name: str
     max_connections: int
     health_path: str = '/'
-    engine: Engine | None = None
+    engine: EngineSpec | None = None
 
 
 @attrs.frozen
--- a/dandelionwinch/tests/test_placement_router.py
+++ b/dandelionwinch/tests/test_placement_router.py
@@ -85,7 +85,7 @@
 
 
 def _owner():
-    return placement.usual_decider([n for n, _dc in NEARBY], 'dc', 'lm')
+    return placement.choose_owner([n for n, _dc in NEARBY], 'dc', 'lm')
 
 
 def _non_owner():
--- a/dandelionwinch/tests/test_search.py
+++ b/dandelionwinch/tests/test_search.py
@@ -8,9 +8,9 @@
 from dandelionwinch.claims import _commit
 from dandelionwinch import effects
 from dandelionwinch.membership import _freshness
-from dandelionwinch.orders import _authority
-from dandelionwinch.orders import _conduct
-from dandelionwinch.revisions import _acceptance
+from dandelionwinch.orders import _executor
+from dandelionwinch.orders import _lease
+from dandelionwinch.revisions import _rollout
 from dandelionwinch import search
 
 
@@ -68,12 +68,12 @@
 WEAKENED = [
     (
         'orders',
-        _authority.Authority,
-        '_obstacle',
-        _as_if_fenced(_authority.Authority._obstacle),
+        _lease.ShardLease,
+        '_blocked_reason',
+        _as_if_fenced(_lease.ShardLease._blocked_reason),
     ),
-    ('orders', _conduct.Conductor, '_unsettled', lambda *_a: ''),
-    ('orders', _authority.Authority, '_obstacle', lambda *_a: ''),
+    ('orders', _executor.OrderExecutor, '_unsettled', lambda *_a: ''),
+    ('orders', _lease.ShardLease, '_blocked_reason', lambda *_a: ''),
     ('claims', 'dandelionwinch.claims', 'commit_batch', _without_guards),
     (
         'claims',
@@ -81,7 +81,7 @@
         '_open',
         _reopening(_bucket.Bucket._open),
     ),
-    ('settings', _acceptance, 'DRIFT_FACTOR', 0.0),
+    ('settings', _rollout, 'CLOCK_DRIFT_RATIO', 0.0),
     ('settings', _freshness.Freshness, 'is_cut_off', lambda *_a: False),
 ]
 
--- a/dandelionwinch/tests/test_streams.py
+++ b/dandelionwinch/tests/test_streams.py
@@ -118,7 +118,7 @@
 
 def test_no_engine_with_room_is_answered_at_once():
     async def scenario(house):
-        house.gateway.fleet.beliefs.remove('u0', 0.0)
+        house.gateway.fleet.registry.remove('u0', 0.0)
         house.generate('/resume/1')
         return await house.answer()
 
@@ -145,9 +145,9 @@
 
 def make_reader(house):
     """Lets the first upstream be one that only reads prompts."""
-    beliefs = house.gateway.fleet.beliefs
-    entry = beliefs.get('u0').entry
-    beliefs.apply(attrs.evolve(entry, role=upstreams.Role.PREFILL))
+    registry = house.gateway.fleet.registry
+    entry = registry.get('u0').entry
+    registry.apply(attrs.evolve(entry, role=upstreams.Role.PREFILL))
 
 
 def play_reader(scripts):
@@ -165,7 +165,7 @@
 
 
 def test_a_prompt_is_prefilled_at_one_engine_and_answered_at_another():
-    handle = samples.handle('h1')
+    handle = samples.prefill_body('h1')
     prefill = [[house_module.whole(handle)]]
     decode = [ONE_EVENT]
 
@@ -183,14 +183,14 @@
 
 
 def test_an_engine_that_leaves_during_a_prefill_gets_nothing():
-    handle = samples.handle('h1')
+    handle = samples.prefill_body('h1')
     answer = [ONE_EVENT]
     scripts = [[[scripted.HOLD, house_module.whole(handle)]], answer, answer]
 
     async def scenario(house):
-        beliefs = house.gateway.fleet.beliefs
+        registry = house.gateway.fleet.registry
         make_reader(house)
-        beliefs.remove('u2', 0.0)
+        registry.remove('u2', 0.0)
         number = 0
         while not house.upstreams[0].seen:
             number += 1
@@ -199,10 +199,10 @@
             if not house.upstreams[0].seen:
                 await house.answer()
         before = len(house.upstreams[1].seen)
-        leaving = beliefs.get('u1').entry
-        other = beliefs.get('u2').entry
-        beliefs.apply(attrs.evolve(leaving, ready=False))
-        beliefs.apply(other)
+        leaving = registry.get('u1').entry
+        other = registry.get('u2').entry
+        registry.apply(attrs.evolve(leaving, ready=False))
+        registry.apply(other)
         house.upstreams[0].release.set()
         status, _headers, _body = await house.answer()
         after = len(house.upstreams[1].seen)
@@ -221,7 +221,7 @@
 
 
 def test_a_prompt_whose_handle_is_gone_is_read_where_it_is_answered():
-    prefill = [[house_module.whole(samples.handle('h1'))]]
+    prefill = [[house_module.whole(samples.prefill_body('h1'))]]
 
     async def scenario(house):
         make_reader(house)
