--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -1,4 +1,4 @@
-"""The core of an instance: owns its state and answers messages."""
+"""The core of an instance: owns its state and handles messages."""
 
 import asyncio
 import concurrent.futures
@@ -13,17 +13,17 @@
 from dandelionwinch.adapters import upstream as upstream_adapter
 from dandelionwinch import addresses
 from dandelionwinch import catalog
-from dandelionwinch.daemon import _beats
 from dandelionwinch.daemon import _claims
-from dandelionwinch.daemon import _deciders
 from dandelionwinch.daemon import _earnings
-from dandelionwinch.daemon import _loads
+from dandelionwinch.daemon import _heartbeats
+from dandelionwinch.daemon import _load_reports
 from dandelionwinch.daemon import _metrics
-from dandelionwinch.daemon import _operators
 from dandelionwinch.daemon import _peers
+from dandelionwinch.daemon import _placement_router
+from dandelionwinch.daemon import _scheduler
 from dandelionwinch.daemon import _settings
 from dandelionwinch.daemon import _shards
-from dandelionwinch.daemon import _work
+from dandelionwinch.daemon import _statements
 from dandelionwinch.daemon import messages
 from dandelionwinch import effects
 from dandelionwinch import errors
@@ -32,10 +32,10 @@
 from dandelionwinch import revisions
 from dandelionwinch import timeline
 
-STORE_THREADS = 24
-ASK_TIMEOUT_S = 30.0
-STOP_STEP_S = 0.1
-MICROSECONDS = 1_000_000
+IO_THREADS = 24
+REQUEST_TIMEOUT_S = 30.0
+DRAIN_POLL_S = 0.1
+MICROSECONDS_PER_S = 1_000_000
 
 logger = loguru.logger
 
@@ -44,7 +44,11 @@
     """Runs all tasks of an instance in one event loop.
 
     The loop has a thread of its own. Other threads send a message with
-    ``request`` and wait for its reply; they touch no state themselves.
+    ``request`` and wait for the reply; they change no state, apart from
+    ``drain``, which clears ``accepting``.
+
+    Args:
+        cfg: EntrySettings.
     """
 
     def __init__(self, cfg):
@@ -64,7 +68,7 @@
             cfg.relay.connect_timeout_s, cfg.relay.idle_connection_s
         )
         self.members = membership.Membership(
-            self._member(), cfg.timing, self.rng
+            self._own_member(), cfg.timing, self.rng
         )
         self.departures = membership.Departures(cfg.timing.gone_margin_s)
         self.freshness = membership.Freshness(
@@ -72,24 +76,24 @@
         )
         self.documents = revisions.Documents()
         self.catalog = catalog.EMPTY
-        self.hybrid_clock = timeline.HybridClock(_wall_us)
+        self.hybrid_clock = timeline.HybridClock(_wall_clock_us)
         self.event_buffer = timeline.EventBuffer(
             cfg.instance.name, self.hybrid_clock, cfg.events_kept
         )
         self.metrics = _metrics.Metrics()
-        self.scheduler = _work.Scheduler(self)
-        self.deciders = _deciders.Deciders(self)
-        self.beats = _beats.Beats(self)
-        self.settings = _settings.SettingsTask(self)
-        self.loads = _loads.Loads(self)
+        self.scheduler = _scheduler.Scheduler(self)
+        self.placement_router = _placement_router.PlacementRouter(self)
+        self.heartbeats = _heartbeats.Heartbeats(self)
+        self.settings = _settings.SettingsSync(self)
+        self.load_reports = _load_reports.LoadReports(self)
         self.shards = _shards.Shards(self)
         self.claims = _claims.Claims(self)
         self.earnings = _earnings.Earnings(self)
-        self.operators = _operators.Operators(self)
+        self.statements = _statements.StatementRunner(self)
         self.peers = _peers.Peers(self)
         self.accepting = True
         self.executor = concurrent.futures.ThreadPoolExecutor(
-            STORE_THREADS, thread_name_prefix='core-io'
+            IO_THREADS, thread_name_prefix='core-io'
         )
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(
@@ -97,7 +101,7 @@
         )
         self._tasks = []
 
-    def _member(self):
+    def _own_member(self):
         me = self.cfg.instance
         return peer_pb2.Member(
             name=me.name,
@@ -121,23 +125,25 @@
         return self.cfg.instance.data_centre
 
     def start(self):
-        """Starts the loop, the peers' listener and all tasks."""
+        """Starts the event loop, the listener for peers and all tasks."""
         self._thread.start()
-        self._wait(self._start(), ASK_TIMEOUT_S)
+        self._wait(self._start(), REQUEST_TIMEOUT_S)
 
     async def _start(self):
         await self.peers.start()
-        await self.settings.load_first()
-        for task in (
-            self.beats,
+        await self.settings.load_initial()
+        for component in (
+            self.heartbeats,
             self.settings,
-            self.loads,
+            self.load_reports,
             self.shards,
             self.claims,
             self.earnings,
         ):
-            for run in task.runs():
-                self._tasks.append(asyncio.create_task(_guard(run)))
+            for coroutine in component.coroutines():
+                self._tasks.append(
+                    asyncio.create_task(_log_failure(coroutine))
+                )
         self.event('instance.started', self.name)
 
     def _wait(self, coroutine, timeout_s):
@@ -154,18 +160,26 @@
                 f'{timeout_s:g} s'
             ) from None
 
-    def request(self, message, timeout_s=ASK_TIMEOUT_S):
+    def request(self, message, timeout_s=REQUEST_TIMEOUT_S):
         """Sends a message from another thread and waits for the reply.
 
+        Args:
+            message: One of the classes in ``messages``.
+            timeout_s: Longest wait for the reply.
+
+        Returns:
+            The reply; its type depends on the message.
+
         Raises:
-            DandelionwinchError: As the handling of the message decides.
+            DeadlinePassed: If there was no reply in time.
+            DandelionwinchError: If the handler of the message raised it.
         """
         fut = concurrent.futures.Future()
         self._loop.call_soon_threadsafe(self._dispatch, message, fut)
         return self._result(fut, timeout_s)
 
     def _dispatch(self, message, fut):
-        """Answers a message; only slow ones become a task."""
+        """Handles a message; only coroutine handlers become a task."""
         if fut.cancelled():
             return
         try:
@@ -177,7 +191,7 @@
             fut.set_result(reply)
             return
         task = asyncio.ensure_future(reply)
-        task.add_done_callback(lambda done: _hand_over(done, fut))
+        task.add_done_callback(lambda done: _copy_outcome(done, fut))
 
     def _handle(self, message):
         match message:
@@ -200,36 +214,40 @@
             case messages.FindAddress(data_centre=data_centre, team=team):
                 return self.find_address(data_centre, team)
             case messages.RunStatement(text=text):
-                return self.operators.ask(text)
+                return self.statements.run(text)
             case messages.CheckReadiness():
                 return self.unready_reason()
         raise TypeError(f'"{message!r}" is not a message of the core')
 
     def now(self):
-        """Returns monotonic seconds."""
+        """Returns the monotonic time in seconds."""
         return time.monotonic()
 
     def event(self, kind, subject, detail=''):
-        """Records an event of the time line and logs it."""
+        """Appends an event to the timeline and logs it."""
         self.event_buffer.add(kind, subject, detail)
         logger.bind(subject=subject).debug('{} {}', kind, detail)
 
-    async def execute(self, request):
-        """Runs a store request without blocking the loop."""
+    async def call_store(self, request):
+        """Executes a store request in a worker thread."""
         self.metrics.store_calls.labels(type(request).__name__).inc()
         return await self._loop.run_in_executor(
             self.executor, self.store.execute, request
         )
 
-    async def run(self, program, handle=None):
-        """Runs a decision program to its end.
+    async def run_program(self, program, handle=None):
+        """Drives a sans-I/O program until it returns.
 
         Args:
-            program: A generator of requests.
-            handle: Async function that serves its requests, or None if
-                they are all for the store and the clock.
+            program: Generator that yields effects and is sent the reply
+                to each.
+            handle: Async function that performs an effect, or None if
+                the program uses only the store and the clock.
+
+        Returns:
+            The return value of the program.
         """
-        handle = handle or self.run_request
+        handle = handle or self.run_effect
         reply = None
         while True:
             try:
@@ -238,18 +256,22 @@
                 return stop.value
             reply = await handle(request)
 
-    async def run_request(self, request):
-        """Runs one request of a decision program."""
+    async def run_effect(self, request):
+        """Performs a clock or store effect of a sans-I/O program."""
         if isinstance(request, effects.Clock):
             return effects.Time(self.now(), time.time())
-        return await self.execute(request)
+        return await self.call_store(request)
 
-    async def call(self, function, *args):
-        """Runs a blocking function in a thread of the core's own."""
+    async def run_blocking(self, function, *args):
+        """Runs a blocking function in a worker thread of the core."""
         return await self._loop.run_in_executor(self.executor, function, *args)
 
     def find_address(self, data_centre, team):
-        """Answers which instance a client should use."""
+        """Returns the instance that a client should use.
+
+        Raises:
+            Unready: If no instance accepts new work.
+        """
         now = self.now()
         usable = self.members.usable(now)
         found = addresses.assign(
@@ -260,13 +282,13 @@
         return found
 
     def not_gone(self):
-        """Returns known instances that are not certainly gone."""
+        """Returns known instances whose process may still be running."""
         return self.departures.remaining(
             self.members.all_instances(), self.now()
         )
 
     def unready_reason(self):
-        """Returns why no new work is taken, or an empty string."""
+        """Returns why new work is refused, or an empty string."""
         now = self.now()
         if not self.accepting:
             return 'this instance is stopping'
@@ -282,38 +304,52 @@
         return ''
 
     def is_cut_off(self):
-        """Tells whether new work is refused for lack of contact."""
+        """Tells whether new work is refused for lack of contact.
+
+        An instance without recent contact may hold an outdated
+        configuration. It serves on if ``when_cut_off`` is ``serve``.
+        """
         if self.cfg.when_cut_off == 'serve':
             return False
         data_centres = membership.populated_data_centres(self.not_gone())
         return self.freshness.is_cut_off(data_centres, self.now())
 
     def leave(self):
-        """Announces that this instance is leaving; it still serves."""
-        self._wait(self._leave(), ASK_TIMEOUT_S)
+        """Announces to all peers that this instance is leaving.
+
+        It still serves; see ``drain``.
+        """
+        self._wait(self._leave(), REQUEST_TIMEOUT_S)
 
     async def _leave(self):
         self.members.leave()
         self.event('instance.leaving', self.name)
-        await self.beats.announce()
+        await self.heartbeats.announce()
 
     def drain(self):
-        """Serves on until no client is sent here and all jobs ended."""
+        """Waits until clients have moved on and all jobs have ended.
+
+        Clients may hold this instance's address for as long as an address
+        answer is valid, and peers learn of the leave within two
+        heartbeats, so new work is accepted for that long. It is accepted
+        on until no job runs or ``drain_limit_s`` more have passed, and
+        refused from then on.
+        """
         timing = self.cfg.timing
         grace_s = timing.answer_valid_s + 2 * timing.beat_s
         time.sleep(grace_s)
         limit = time.monotonic() + timing.drain_limit_s
-        while self.scheduler.jobs() and time.monotonic() < limit:
-            time.sleep(STOP_STEP_S)
+        while self.scheduler.running_jobs() and time.monotonic() < limit:
+            time.sleep(DRAIN_POLL_S)
         self.accepting = False
-        while self.scheduler.jobs() and time.monotonic() < limit:
-            time.sleep(STOP_STEP_S)
+        while self.scheduler.running_jobs() and time.monotonic() < limit:
+            time.sleep(DRAIN_POLL_S)
 
     def close(self):
-        """Releases what is held and stops all tasks."""
-        self._wait(self._close(), ASK_TIMEOUT_S)
+        """Stops all tasks, releases leases and closes all connections."""
+        self._wait(self._close(), REQUEST_TIMEOUT_S)
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(timeout=ASK_TIMEOUT_S)
+        self._thread.join(timeout=REQUEST_TIMEOUT_S)
         self.executor.shutdown(wait=False, cancel_futures=True)
         for adapter in (
             self.store,
@@ -332,8 +368,8 @@
         await self.peers.close()
 
 
-def _hand_over(task, fut):
-    """Gives a task's outcome to the thread that waits for it."""
+def _copy_outcome(task, fut):
+    """Copies the outcome of a task to the future of a waiting thread."""
     if fut.cancelled():
         return
     if task.cancelled():
@@ -344,16 +380,16 @@
         fut.set_result(task.result())
 
 
-async def _guard(run):
-    """Logs what ended a task before the task ends."""
+async def _log_failure(coroutine):
+    """Logs an exception that ends a background task."""
     try:
-        await run
+        await coroutine
     except asyncio.CancelledError:
         raise
     except Exception:
-        logger.exception('a task of the core ended')
+        logger.exception('a background task failed and will not run again')
         raise
 
 
-def _wall_us():
-    return int(time.time() * MICROSECONDS)
+def _wall_clock_us():
+    return int(time.time() * MICROSECONDS_PER_S)
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of upstreams, and holds on upstreams that are to change."""
+"""Load reports, holds and backoff of upstreams."""
 
 import asyncio
 
@@ -10,77 +10,89 @@
 from dandelionwinch import settings
 from dandelionwinch import utils
 
-REPORT_LIFE_S = 5.0
-FIRST_REST_S = 0.5
-LONGEST_REST_S = 15.0
+REPORT_MAX_AGE_S = 5.0
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 15.0
 
 
 @attrs.define
-class _Seen:
-    """The newest report of an upstream, as it came from whoever polled."""
+class _StoredReport:
+    """The newest report of an upstream, polled here or by a peer.
+
+    Attributes:
+        made_at: Time before the poll was sent, on the local clock.
+    """
 
     made_at: float
     message: peer_pb2.UpstreamLoad
 
 
 @attrs.define
-class _Rest:
+class _Backoff:
     until: float = 0.0
     failures: int = 0
 
 
-class Loads:
-    """Polls some upstreams and learns of the others from peers.
+class LoadReports:
+    """Polls some upstreams and receives reports on the others from peers.
 
     Each upstream is polled by one instance of its data centre, chosen by
-    rendezvous hashing, so that polling grows with upstreams only.
+    rendezvous hashing, so that the number of polls does not grow with
+    the number of instances.
+
+    A hold keeps new jobs off an upstream while its role changes or it
+    drains. Backoff gives upstreams of plain services that failed the
+    lowest preference for a while.
     """
 
     def __init__(self, core):
         self._core = core
-        self._seen = {}
+        self._reports = {}
         self._holds = {}
-        self._rests = {}
+        self._backoffs = {}
 
-    def runs(self):
-        """Returns the coroutines of this task."""
+    def coroutines(self):
+        """Returns the coroutines of the background tasks."""
         period_s = self._core.cfg.timing.load_s
         yield _periodic.every(period_s, self._poll_all, self._core.rng)
 
     async def _poll_all(self):
         core = self._core
         now = core.now()
-        self._end_holds(now)
-        mine = [
+        self._expire_holds(now)
+        own = [
             upstream
             for upstream in core.catalog.all('upstream')
             if upstream.role is not settings.Role.SERVICE
             and upstream.state is not settings.UpstreamState.RETIRED
             and self._poller_of(upstream, now) == core.name
         ]
-        await asyncio.gather(*(self.poll(upstream) for upstream in mine))
+        await asyncio.gather(*(self.poll(upstream) for upstream in own))
 
     def _poller_of(self, upstream, now):
         core = self._core
         data_centre = core.catalog.data_centre_of(upstream)
         live = core.members.live(now)
-        near = [k for k in live if k.data_centre == data_centre] or live
-        if not near:
+        nearby = [
+            peer for peer in live if peer.data_centre == data_centre
+        ] or live
+        if not nearby:
             return core.name
         best = max(
-            near, key=lambda k: utils.stable_hash(upstream.name, k.name)
+            nearby,
+            key=lambda peer: utils.stable_hash(upstream.name, peer.name),
         )
         return best.name
 
     async def poll(self, upstream):
-        """Asks an upstream for its load and notes the report.
+        """Polls an upstream and records the report.
 
         Returns:
-            The Load, or None if it did not answer.
+            The Load, or None if the upstream did not answer.
         """
         core = self._core
-        asked_at = core.now()
-        load = await core.call(core.upstreams.load, upstream.address)
+        requested_at = core.now()
+        load = await core.run_blocking(core.upstreams.load, upstream.address)
         message = peer_pb2.UpstreamLoad(upstream=upstream.name)
         if load is None:
             message.failed = True
@@ -93,21 +105,23 @@
             message.away = load.away
             message.order_id = load.order_id
             message.epoch = load.epoch
-        self._take(message, asked_at)
+        self._record(message, requested_at)
         return load
 
     def merge(self, messages, now):
-        """Takes in reports that a peer passed on."""
+        """Records reports that came with a peer's digest."""
         for message in messages:
-            self._take(message, now - message.age_s)
+            self._record(message, now - message.age_s)
 
-    def _take(self, message, made_at):
-        held = self._seen.get(message.upstream)
+    def _record(self, message, made_at):
+        # Ignores reports that are not newer by more than 1 ms, such as
+        # copies of the stored one that peers pass on.
+        held = self._reports.get(message.upstream)
         if held is not None and made_at <= held.made_at + 0.001:
             return
         if self._core.catalog.get('upstream', message.upstream) is None:
             return
-        self._seen[message.upstream] = _Seen(made_at, message)
+        self._reports[message.upstream] = _StoredReport(made_at, message)
         estimates = self._core.scheduler.estimates
         if message.failed:
             estimates.failed(message.upstream, self._core.now())
@@ -126,25 +140,38 @@
             ),
         )
 
-    def known(self, now, limit=None):
-        """Returns recent reports with their ages, for a digest."""
+    def recent(self, now, limit=None):
+        """Yields the recent reports with their ages set, for a digest.
+
+        Args:
+            now: Time in seconds.
+            limit: Largest number of reports, drawn at random, or None.
+        """
         fresh = [
-            seen
-            for seen in self._seen.values()
-            if now - seen.made_at <= REPORT_LIFE_S
+            report
+            for report in self._reports.values()
+            if now - report.made_at <= REPORT_MAX_AGE_S
         ]
         if limit is not None and len(fresh) > limit:
             fresh = self._core.rng.sample(fresh, limit)
-        for seen in fresh:
-            seen.message.age_s = now - seen.made_at
-            yield seen.message
+        for report in fresh:
+            report.message.age_s = now - report.made_at
+            yield report.message
 
     def latest(self, upstream):
-        """Returns the newest report of an upstream and its time, or None."""
-        return self._seen.get(upstream)
+        """Returns the newest report of an upstream with its time, or None."""
+        return self._reports.get(upstream)
 
     def hold(self, request):
-        """Places nothing new on an upstream for a time."""
+        """Starts, renews or releases a hold on an upstream.
+
+        Args:
+            request: A HoldRequest.
+
+        Returns:
+            A HoldReply with the number of jobs that this instance still
+            has on the upstream.
+        """
         core = self._core
         key = (request.upstream, request.order_id)
         if request.release:
@@ -158,7 +185,7 @@
         return peer_pb2.HoldReply(jobs=jobs, instance=core.name)
 
     def is_held(self, upstream):
-        """Tells whether an upstream is held."""
+        """Tells whether a hold keeps new jobs off an upstream."""
         return any(name == upstream for name, _order in self._holds)
 
     def _mark_held(self, upstream):
@@ -166,26 +193,26 @@
         if estimate is not None:
             estimate.held = self.is_held(upstream)
 
-    def _end_holds(self, now):
-        over = [key for key, until in self._holds.items() if until < now]
-        for key in over:
+    def _expire_holds(self, now):
+        expired = [key for key, until in self._holds.items() if until < now]
+        for key in expired:
             del self._holds[key]
             self._mark_held(key[0])
             self._core.event('upstream.hold_ended', key[0], key[1])
 
-    def rest(self, upstream, now):
-        """Leaves a service's upstream alone for a while."""
-        rest = self._rests.setdefault(upstream, _Rest())
-        wait_s = min(LONGEST_REST_S, FIRST_REST_S * 2**rest.failures)
-        rest.failures = min(rest.failures + 1, 10)
-        rest.until = now + wait_s
-
-    def rested(self, upstream):
-        """Notes that a service's upstream answered well."""
-        self._rests.pop(upstream, None)
-
-    def is_resting(self, upstream, now):
-        """Tells whether an upstream takes no new work at present."""
-        rest = self._rests.get(upstream)
-        resting = rest is not None and now < rest.until
-        return resting or self.is_held(upstream)
+    def back_off(self, upstream, now):
+        """Starts the backoff of a failed upstream, or doubles it."""
+        backoff = self._backoffs.setdefault(upstream, _Backoff())
+        wait_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**backoff.failures)
+        backoff.failures = min(backoff.failures + 1, 10)
+        backoff.until = now + wait_s
+
+    def reset_backoff(self, upstream):
+        """Ends the backoff of an upstream that completed a job."""
+        self._backoffs.pop(upstream, None)
+
+    def is_unavailable(self, upstream, now):
+        """Tells whether an upstream is held or in backoff."""
+        backoff = self._backoffs.get(upstream)
+        backing_off = backoff is not None and now < backoff.until
+        return backing_off or self.is_held(upstream)
--- a/dandelionwinch/daemon/_peers.py
+++ b/dandelionwinch/daemon/_peers.py
@@ -1,4 +1,4 @@
-"""The listener for peers and the calls to them, by grpclib."""
+"""Calls between peers, served and made with grpclib."""
 
 import asyncio
 import hmac
@@ -13,11 +13,11 @@
 from dandelionwinch.peers import peer_grpc
 from dandelionwinch.peers import peer_pb2
 
-BEAT_TIMEOUT_S = 1.0
+HEARTBEAT_TIMEOUT_S = 1.0
 CALL_TIMEOUT_S = 2.0
 FAILURES_BEFORE_RECONNECT = 1
 
-_FAILED = (
+_CALL_ERRORS = (
     exceptions.GRPCError,
     exceptions.StreamTerminatedError,
     OSError,
@@ -26,13 +26,13 @@
 
 
 def split_address(address):
-    """Splits an address into its IP number and port."""
+    """Returns the IP address, without brackets, and the port."""
     host, _, port = address.rpartition(':')
     return host.strip('[]'), int(port)
 
 
 class Peers:
-    """Serves peers and calls them; every call has a deadline."""
+    """Serves calls of peers and calls them; every call has a timeout."""
 
     def __init__(self, core):
         self._core = core
@@ -40,8 +40,8 @@
         self._server = None
 
     async def start(self):
-        """Starts to listen for peers."""
-        self._server = server.Server([_Service(self._core)])
+        """Starts listening for peers."""
+        self._server = server.Server([_PeerService(self._core)])
         host, port = split_address(self._core.cfg.instance.peer_address)
         context = _server_context(self._core.cfg.security)
         await self._server.start(host, port, ssl=context)
@@ -54,16 +54,22 @@
         if self._server is not None:
             self._server.close()
 
-    async def beat(self, address, digest):
-        """Exchanges digests; returns None if the peer did not answer."""
-        return await self.call(address, 'Beat', digest, BEAT_TIMEOUT_S)
+    async def exchange_digests(self, address, digest):
+        """Sends a digest; returns the peer's, or None without a reply."""
+        return await self.call(address, 'Beat', digest, HEARTBEAT_TIMEOUT_S)
 
     async def call(self, address, method, request, timeout_s=CALL_TIMEOUT_S):
-        """Calls a peer's method.
+        """Calls a method of a peer.
+
+        Args:
+            address: The peer's address.
+            method: Name of an RPC in peer.proto.
+            request: Request message of that RPC.
+            timeout_s: Longest wait for the reply.
 
         Returns:
             The reply, or None if there was none in time. The peer may
-            have handled the call all the same.
+            have handled the call nevertheless.
         """
         channel = self._channel(address)
         stub = peer_grpc.PeerStub(channel)
@@ -75,8 +81,9 @@
             return await getattr(stub, method)(
                 request, timeout=timeout_s, metadata=metadata
             )
-        except _FAILED:
-            # The connection may have gone silent for good.
+        except _CALL_ERRORS:
+            # Reconnects on the next call, as the connection may be dead
+            # without having been closed.
             if self._channels.get(address) is channel:
                 del self._channels[address]
                 channel.close()
@@ -91,25 +98,25 @@
             self._channels[address] = channel
         return channel
 
-    async def all(self, method, request, timeout_s=CALL_TIMEOUT_S):
-        """Calls a method of every other live instance.
+    async def broadcast(self, method, request, timeout_s=CALL_TIMEOUT_S):
+        """Calls a method of every other live instance concurrently.
 
         Returns:
-            Replies by instance name; None where there was none.
+            Replies by instance name; None where there was no reply.
         """
         core = self._core
         others = [
-            known
-            for known in core.members.live(core.now())
-            if known is not core.members.local
+            peer
+            for peer in core.members.live(core.now())
+            if peer is not core.members.local
         ]
         replies = await asyncio.gather(
             *(
-                self.call(k.member.peer_address, method, request, timeout_s)
-                for k in others
+                self.call(peer.member.peer_address, method, request, timeout_s)
+                for peer in others
             )
         )
-        names = [known.name for known in others]
+        names = [peer.name for peer in others]
         return dict(zip(names, replies, strict=True))
 
 
@@ -133,8 +140,8 @@
     return context
 
 
-class _Service(peer_grpc.PeerBase):
-    """Answers peers."""
+class _PeerService(peer_grpc.PeerBase):
+    """Handlers of the RPCs in peer.proto."""
 
     def __init__(self, core):
         self._core = core
@@ -152,15 +159,15 @@
 
     async def Beat(self, stream):  # noqa: N802
         digest = await self._receive(stream)
-        await stream.send_message(await self._core.beats.answer(digest))
+        await stream.send_message(await self._core.heartbeats.handle(digest))
 
     async def Documents(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        await stream.send_message(self._core.settings.reply(request))
+        await stream.send_message(self._core.settings.handle(request))
 
     async def Hold(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        await stream.send_message(self._core.loads.hold(request))
+        await stream.send_message(self._core.load_reports.hold(request))
 
     async def Claim(self, stream):  # noqa: N802
         request = await self._receive(stream)
@@ -172,7 +179,7 @@
 
     async def Place(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        await stream.send_message(self._core.deciders.answer(request))
+        await stream.send_message(self._core.placement_router.handle(request))
 
     async def Events(self, stream):  # noqa: N802
         request = await self._receive(stream)
@@ -184,7 +191,7 @@
 
     async def Rows(self, stream):  # noqa: N802
         request = await self._receive(stream)
-        rows = self._core.operators.own_rows(request.table, request.id)
+        rows = self._core.statements.own_rows(request.table, request.id)
         await stream.send_message(
             peer_pb2.RowsReply(rows=_wire.dump_rows(rows))
         )
--- a/dandelionwinch/daemon/_work.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -1,4 +1,4 @@
-"""Jobs of this instance: admission, placement, retries, endings."""
+"""Admission, placement, retries and completion of this instance's jobs."""
 
 import zlib
 
@@ -9,14 +9,24 @@
 from dandelionwinch import placement
 from dandelionwinch import settings
 
-DEFAULT_PATIENCE_S = 5.0
-PROMPT_TOKEN_BYTES = 6
-OUTPUT_TOKEN_BYTES = 200
-GIGABYTE = 1e9
+# Longest useful wait for the first token.
+MAX_WAIT_S = 5.0
+# Traffic that a job causes on a link between regions.
+BYTES_PER_PROMPT_TOKEN = 6
+BYTES_PER_OUTPUT_TOKEN = 200
+BYTES_PER_GIGABYTE = 1e9
 
 
 class Scheduler:
-    """Owns the running jobs, the limits and the placer."""
+    """Admits, places, retries and finishes jobs.
+
+    Attributes:
+        job_history: Running and recent jobs.
+        admission: Limits of teams and of the instance.
+        estimates: Load estimate of each model upstream.
+        placer: Chooses upstreams by the estimates.
+        trends: Demand by name of the pool.
+    """
 
     def __init__(self, core):
         self._core = core
@@ -24,24 +34,32 @@
         self.admission = limits.Admission(core.cfg.relay.max_jobs)
         self.estimates = placement.LoadEstimates()
         self.placer = placement.Placer(self.estimates, core.rng)
-        self._budgets = {}
+        self._retry_budgets = {}
         self.trends = {}
         self._demands = {}
 
-    def jobs(self):
-        """Returns the number of jobs being served."""
+    def running_jobs(self):
+        """Returns the number of running jobs."""
         return self.admission.jobs
 
-    def adopt(self, catalog):
-        """Takes over the upstreams of a new configuration."""
+    def update_upstreams(self, catalog):
+        """Sets the model upstreams of a new configuration."""
         self.estimates.set_upstreams(
-            _estimate(upstream, catalog.data_centre_of(upstream))
+            _load_estimate(upstream, catalog.data_centre_of(upstream))
             for upstream in catalog.all('upstream')
             if upstream.role is not settings.Role.SERVICE
         )
 
     def admit(self, message):
-        """Takes a job or raises why it is not taken."""
+        """Admits a job.
+
+        Args:
+            message: An Admit message.
+
+        Raises:
+            Unready: If this instance accepts no new work.
+            DandelionwinchError: If a limit refuses the job.
+        """
         core = self._core
         reason = core.unready_reason()
         if reason:
@@ -50,7 +68,7 @@
         team = self._team(message.team)
         self.admission.admit(
             team,
-            self._busy_weight(team),
+            self._active_weight(team),
             len(core.members.usable(now)),
             now,
         )
@@ -66,12 +84,23 @@
             name='default'
         )
 
-    def _busy_weight(self, team):
+    def _active_weight(self, team):
         names = set(self.admission.busy_teams()) | {team.name}
         return sum(self._team(name).weight for name in names)
 
     async def place(self, message):
-        """Chooses the upstreams of a completion."""
+        """Chooses the upstreams of a completion.
+
+        Args:
+            message: A PlaceCompletion message.
+
+        Returns:
+            A Placement.
+
+        Raises:
+            NotFound: If the model does not exist.
+            NoUpstream: If no upstream can start the job in time.
+        """
         core = self._core
         job = message.job
         model = core.catalog.get('model', job.model)
@@ -84,19 +113,19 @@
             job.prefix,
             message.exclude,
         )
-        choice = await core.deciders.choose(query)
+        choice = await core.placement_router.choose(query)
         now = core.now()
         if isinstance(choice, placement.Refusal):
             pools = core.catalog.pools_of_model(job.model)
-            self._add_demand(pools, job, now)
+            self._record_refused_demand(pools, job, now)
             raise errors.NoUpstream(
                 choice.reason, retry_after_s=choice.retry_after_s
             )
-        self._note(message, choice, now)
-        return self._placed(choice, model)
+        self._record_placement(message, choice, now)
+        return self._placement_reply(choice, model)
 
     def choose(self, query):
-        """Decides here where a job of this data centre runs.
+        """Places a job of this data centre by the local load estimates.
 
         Returns:
             A placement.Choice or placement.Refusal.
@@ -114,38 +143,44 @@
             output_tokens=query.output_tokens,
             prefix=query.prefix,
             prefix_tokens=query.prompt_tokens,
-            max_wait_s=DEFAULT_PATIENCE_S,
+            max_wait_s=MAX_WAIT_S,
             gap_s=model.token_gap_s,
             exclude=query.exclude,
         )
-        self.placer.set_peer_rates(core.beats.peer_rates(now))
+        self.placer.set_peer_rates(core.heartbeats.peer_rates(now))
         pools = core.catalog.pools_of_model(query.model)
-        return self.placer.place(demand, self._sites(pools, query), now)
+        return self.placer.place(
+            demand, self._candidate_pools(pools, query), now
+        )
 
-    def _sites(self, pools, query):
+    def _candidate_pools(self, pools, query):
         catalog = self._core.catalog
-        here = self._core.data_centre
-        region = catalog.region_of(here)
+        local_data_centre = self._core.data_centre
+        region = catalog.region_of(local_data_centre)
         link = catalog.link()
-        sites = []
+        candidates = []
         for pool in pools:
             link_cost_s = 0.0
-            if pool.data_centre != here:
+            if pool.data_centre != local_data_centre:
                 link_cost_s = link.latency_s
             if catalog.region_of(pool.data_centre) != region:
-                link_cost_s += 2 * link.latency_s + _link_s(link, query)
+                link_cost_s += 2 * link.latency_s + _transfer_cost_s(
+                    link, query
+                )
             names = tuple(
                 upstream.name
                 for upstream in catalog.upstreams_of(pool.name)
                 if upstream.state is settings.UpstreamState.ACTIVE
             )
-            sites.append(
+            candidates.append(
                 placement.CandidatePool(pool.name, names, link_cost_s)
             )
-        sites.sort(key=lambda site: (site.link_cost_s, site.name))
-        return sites
+        candidates.sort(
+            key=lambda candidate: (candidate.link_cost_s, candidate.name)
+        )
+        return candidates
 
-    def _note(self, message, choice, now):
+    def _record_placement(self, message, choice, now):
         record = self.job_history.get(message.job_id)
         job = message.job
         if record is not None:
@@ -169,30 +204,45 @@
             trend = self.trends[pool.name] = placement.Trend(horizon_s / 2)
         return trend
 
-    def _add_demand(self, pools, job, now):
-        """Counts a refused job where it would have run."""
-        near = [
+    def _record_refused_demand(self, pools, job, now):
+        """Adds a refused job to the demand of a local pool of its model.
+
+        If there is none, the first pool counts. Without refused jobs, the
+        demand of a full pool would never exceed its capacity.
+        """
+        nearby = [
             p for p in pools if p.data_centre == self._core.data_centre
         ] or pools
-        if near:
-            self._trend(near[0]).add(job.prompt_tokens, job.max_tokens, now)
+        if nearby:
+            self._trend(nearby[0]).add(job.prompt_tokens, job.max_tokens, now)
 
-    def _placed(self, choice, model):
+    def _placement_reply(self, choice, model):
         catalog = self._core.catalog
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
-        apart = choice.prefill != decode.name
+        is_split = choice.prefill != decode.name
         return messages.Placement(
             upstream=decode.name,
             address=decode.address,
-            prefill_upstream=prefill.name if apart else '',
-            prefill_address=prefill.address if apart else '',
+            prefill_upstream=prefill.name if is_split else '',
+            prefill_address=prefill.address if is_split else '',
             token_gap_s=model.token_gap_s,
             first_token_s=max(choice.first_token_s, model.first_token_s),
         )
 
     def place_service(self, message):
-        """Lists the upstreams of a plain service, best first."""
+        """Ranks the upstreams of a plain service.
+
+        Args:
+            message: A PlaceService message.
+
+        Returns:
+            A ServicePlacement with the best upstream first.
+
+        Raises:
+            NotFound: If the service does not exist.
+            NoUpstream: If no upstream takes work.
+        """
         core = self._core
         service = core.catalog.get('service', message.service)
         if service is None:
@@ -200,27 +250,34 @@
                 f'service "{message.service}" does not exist'
             )
         now = core.now()
-        found = []
+        ranked = []
         for pool in core.catalog.pools_of_service(service.name):
             for upstream in core.catalog.upstreams_of(pool.name):
                 if upstream.state is not settings.UpstreamState.ACTIVE:
                     continue
-                if core.loads.is_held(upstream.name):
+                if core.load_reports.is_held(upstream.name):
                     continue
-                # One that failed of late is a last resort, not ruled out.
-                resting = core.loads.is_resting(upstream.name, now)
-                spread = zlib.crc32(
+                # An upstream in backoff is the last resort, not excluded.
+                unavailable = core.load_reports.is_unavailable(
+                    upstream.name, now
+                )
+                # Spreads jobs over upstreams of the same preference.
+                tie_breaker = zlib.crc32(
                     f'{message.job_id}{upstream.name}'.encode()
                 )
-                rank = (resting, pool.data_centre != core.data_centre, spread)
-                found.append((rank, upstream))
-        if not found:
+                rank = (
+                    unavailable,
+                    pool.data_centre != core.data_centre,
+                    tie_breaker,
+                )
+                ranked.append((rank, upstream))
+        if not ranked:
             raise errors.NoUpstream(
                 f'no upstream of service "{service.name}" takes work',
                 retry_after_s=1.0,
             )
-        found.sort(key=lambda pair: pair[0])
-        upstreams = tuple(upstream for _rank, upstream in found)
+        ranked.sort(key=lambda pair: pair[0])
+        upstreams = tuple(upstream for _rank, upstream in ranked)
         record = self.job_history.get(message.job_id)
         if record is not None:
             record.upstream = upstreams[0].name
@@ -228,11 +285,11 @@
         return messages.ServicePlacement(service, upstreams)
 
     def upstream_failed(self, message):
-        """Leaves an upstream alone for a while after a failure."""
+        """Records a failure of an upstream and starts its backoff."""
         core = self._core
         now = core.now()
         self.estimates.failed(message.upstream, now)
-        core.loads.rest(message.upstream, now)
+        core.load_reports.back_off(message.upstream, now)
         record = self.job_history.get(message.job_id)
         if record is not None:
             record.terms.append(
@@ -240,16 +297,23 @@
             )
         core.event('upstream.failed', message.upstream, message.reason)
 
-    def _budget(self, target):
-        budget = self._budgets.get(target)
+    def _retry_budget(self, target):
+        budget = self._retry_budgets.get(target)
         if budget is None:
             budget = limits.RetryBudget(self._core.cfg.relay.retry_share)
-            self._budgets[target] = budget
+            self._retry_budgets[target] = budget
         return budget
 
     def retry(self, message):
-        """Tells whether a retry is within the budget of its target."""
-        allowed = self._budget(message.target).spend()
+        """Takes a retry from the budget of its target.
+
+        Args:
+            message: A Retry message.
+
+        Returns:
+            False if the budget is spent.
+        """
+        allowed = self._retry_budget(message.target).spend()
         if allowed:
             self._core.metrics.retries.inc()
         self._core.event(
@@ -260,7 +324,7 @@
         return allowed
 
     def finish(self, message):
-        """Notes how a job ended and books what it earned."""
+        """Records the end of a job and, if it was delivered, its earnings."""
         core = self._core
         record = self.job_history.end(
             message.job_id, message.state, message.code, core.now()
@@ -273,25 +337,29 @@
         core.metrics.running.set(self.admission.jobs)
         core.metrics.jobs.labels(message.state, message.code).inc()
         if message.state == 'done':
-            self._budget(record.target).record_success()
-            core.loads.rested(record.upstream)
+            self._retry_budget(record.target).record_success()
+            core.load_reports.reset_backoff(record.upstream)
             core.metrics.tokens.inc(message.tokens)
-            core.earnings.book(record, message.tokens)
+            core.earnings.record_job(record, message.tokens)
         core.event(f'job.{message.state}', record.id, message.code)
 
     def demands(self, now):
-        """Returns the demand placed here by pool, for the peers."""
+        """Returns the demand at this instance by pool, as Trend.rates()."""
         return {pool: trend.rates(now) for pool, trend in self.trends.items()}
 
 
-def _link_s(link, query):
-    """Returns what the way of a job between regions costs, in seconds."""
-    size = query.prompt_tokens * PROMPT_TOKEN_BYTES
-    size += query.output_tokens * OUTPUT_TOKEN_BYTES
-    return size / link.bytes_per_s + link.price * size / GIGABYTE
+def _transfer_cost_s(link, query):
+    """Returns the cost of a job's traffic between regions, in seconds.
+
+    The price of the traffic is added in seconds of waiting that it is
+    worth; see ``settings.Link``.
+    """
+    size = query.prompt_tokens * BYTES_PER_PROMPT_TOKEN
+    size += query.output_tokens * BYTES_PER_OUTPUT_TOKEN
+    return size / link.bytes_per_s + link.price * size / BYTES_PER_GIGABYTE
 
 
-def _estimate(upstream, data_centre):
+def _load_estimate(upstream, data_centre):
     return placement.LoadEstimate(
         name=upstream.name,
         data_centre=data_centre,
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -1,4 +1,4 @@
-"""Leads shards of upstreams: leases, orders and role changes."""
+"""Shards of upstreams: leases, role change orders and drain holds."""
 
 import asyncio
 import time
@@ -10,160 +10,169 @@
 from dandelionwinch import settings
 from dandelionwinch import utils
 
+# A hold that the instance behind it no longer renews ends after this time.
 HOLD_TTL_S = 10.0
-DEMAND_LIFE_S = 10.0
+DEMAND_MAX_AGE_S = 10.0
 
 
 class Shards:
-    """Owns the leases that this instance holds or would take."""
+    """Holds shard leases and carries out role changes under them.
+
+    A shard has the model upstreams of one pool. For each shard one usable
+    instance, chosen by rendezvous hashing among those of the pool's data
+    centre, tries to acquire the lease. Its holder alone sends orders to
+    the shard's upstreams.
+    """
 
     def __init__(self, core):
         self._core = core
-        self._authorities = {}
-        self._reasons = {}
-        self._drains = {}
-        self._conductors = {}
+        self._shard_leases = {}
+        self._frozen_reasons = {}
+        self._drain_holds = {}
+        self._executors = {}
 
-    def runs(self):
-        """Returns the coroutines of this task."""
+    def coroutines(self):
+        """Returns the coroutines of the background tasks."""
         timing = self._core.cfg.timing
         rng = self._core.rng
         period_s = timing.lease_s / orders.RENEWALS_PER_LEASE
-        yield _periodic.every(period_s, self._lead, rng)
-        yield _periodic.every(timing.load_s, self._carry_out_all, rng)
+        yield _periodic.every(period_s, self._renew_leases, rng)
+        yield _periodic.every(timing.load_s, self._advance_all_orders, rng)
         yield _periodic.every(1.0, self._renew_drains, rng)
 
     def _pools(self):
         return [p for p in self._core.catalog.all('pool') if p.model]
 
-    def authority(self, shard_name):
-        """Returns the Authority over a shard, if there is one."""
-        return self._authorities.get(shard_name)
+    def shard_lease(self, shard_name):
+        """Returns the orders.ShardLease of a shard, or None."""
+        return self._shard_leases.get(shard_name)
 
     def frozen_reason(self, upstream_name):
-        """Returns why an upstream takes no orders now, or an empty text."""
-        return self._reasons.get(upstream_name, '')
+        """Returns why no order is sent to an upstream, or an empty string."""
+        return self._frozen_reasons.get(upstream_name, '')
 
-    async def _lead(self):
+    async def _renew_leases(self):
         core = self._core
         now = core.now()
         pools = {orders.shard_of(pool): pool for pool in self._pools()}
         for name, pool in pools.items():
-            authority = self._authorities.get(name)
-            if authority is not None and authority.shard is not None:
-                await self._renew_or_release(name, pool, authority, now)
-            elif self._should_lead(name, pool, now):
-                await self._acquire(name, pool)
+            lease = self._shard_leases.get(name)
+            if lease is not None and lease.shard is not None:
+                await self._renew_or_release(name, pool, lease, now)
+            elif self._should_acquire(name, pool, now):
+                await self._acquire_lease(name, pool)
         held = sum(
-            1 for a in self._authorities.values() if a.holds(core.now())
+            1 for a in self._shard_leases.values() if a.holds(core.now())
         )
         core.metrics.shards.set(held)
-        core.metrics.frozen.set(len([r for r in self._reasons.values() if r]))
+        core.metrics.frozen.set(
+            len([r for r in self._frozen_reasons.values() if r])
+        )
 
-    def _should_lead(self, name, pool, now):
+    def _should_acquire(self, name, pool, now):
         core = self._core
         if core.members.local.leaving or core.unready_reason():
             return False
         usable = core.members.usable(now)
-        near = [
-            k for k in usable if k.data_centre == pool.data_centre
+        nearby = [
+            peer for peer in usable if peer.data_centre == pool.data_centre
         ] or usable
-        if not near:
+        if not nearby:
             return False
-        best = max(near, key=lambda k: utils.stable_hash(name, k.name))
+        best = max(nearby, key=lambda peer: utils.stable_hash(name, peer.name))
         return best is core.members.local
 
-    async def _renew_or_release(self, name, pool, authority, now):
+    async def _renew_or_release(self, name, pool, lease, now):
         if self._core.members.local.leaving:
-            await self._core.run(authority.release())
+            await self._core.run_program(lease.release())
             self._core.event('shard.released', name)
         else:
-            await self._acquire(name, pool)
+            await self._acquire_lease(name, pool)
 
-    async def _acquire(self, name, pool):
+    async def _acquire_lease(self, name, pool):
         core = self._core
-        authority = self._authorities.get(name)
-        if authority is None:
-            authority = orders.ShardLease(
+        lease = self._shard_leases.get(name)
+        if lease is None:
+            lease = orders.ShardLease(
                 name, core.name, core.incarnation, core.cfg.timing
             )
-            self._authorities[name] = authority
-        held = authority.shard is not None
+            self._shard_leases[name] = lease
+        held = lease.shard is not None
         upstreams = core.catalog.upstreams_of(pool.name)
         fenced = all(upstream.checks_fencing for upstream in upstreams)
-        result = await core.run(
-            authority.acquire(fenced, core.departures.is_gone)
+        result = await core.run_program(
+            lease.acquire(fenced, core.departures.is_gone)
         )
         match result:
             case orders.Owned(shard=shard) if not held:
                 core.event('shard.taken', name, f'epoch {shard.epoch}')
             case orders.Lost(reason=reason):
                 core.event('shard.lost', name, reason)
-        reason = '' if authority.shard else authority.wait_reason
+        reason = '' if lease.shard else lease.wait_reason
         for upstream in upstreams:
-            self._reasons[upstream.name] = reason
+            self._frozen_reasons[upstream.name] = reason
 
-    async def _carry_out_all(self):
+    async def _advance_all_orders(self):
         core = self._core
         for pool in self._pools():
-            authority = self._authorities.get(orders.shard_of(pool))
-            if authority is None or not authority.holds(core.now()):
+            lease = self._shard_leases.get(orders.shard_of(pool))
+            if lease is None or not lease.holds(core.now()):
                 continue
             upstreams = core.catalog.upstreams_of(pool.name)
             await asyncio.gather(
                 *(
-                    self._carry_out(authority, upstream)
+                    self._advance_order(lease, upstream)
                     for upstream in upstreams
                 )
             )
-            if not any(authority.shard.open_order(r.name) for r in upstreams):
-                await self._plan(authority, pool, upstreams)
+            if not any(lease.shard.open_order(u.name) for u in upstreams):
+                await self._plan_role_change(lease, pool, upstreams)
 
-    async def _carry_out(self, authority, upstream):
-        if authority.shard is None:
+    async def _advance_order(self, lease, upstream):
+        if lease.shard is None:
             return
-        wish = self._wish_of_operators(authority.shard, upstream)
-        await self._step(authority, upstream, wish)
+        desired = self._configured_role(lease.shard, upstream)
+        await self._step(lease, upstream, desired)
 
-    async def _step(self, authority, upstream, wish):
+    async def _step(self, lease, upstream, desired):
         progress = await self._run(
-            self._conductor(authority).step(upstream, wish),
-            authority,
+            self._executor(lease).step(upstream, desired),
+            lease,
             upstream,
         )
         closed = progress.event == 'order.closed'
-        self._reasons[upstream.name] = '' if closed else progress.reason
+        self._frozen_reasons[upstream.name] = '' if closed else progress.reason
         if progress.event:
             self._core.event(
                 progress.event, progress.order_id, progress.reason
             )
 
-    def _conductor(self, authority):
-        conductor = self._conductors.get(authority)
-        if conductor is None:
+    def _executor(self, lease):
+        executor = self._executors.get(lease)
+        if executor is None:
             settle_s = self._core.cfg.timing.gone_margin_s
-            conductor = orders.OrderExecutor(authority, settle_s)
-            self._conductors[authority] = conductor
-        return conductor
+            executor = orders.OrderExecutor(lease, settle_s)
+            self._executors[lease] = executor
+        return executor
 
-    async def _run(self, program, authority, upstream):
+    async def _run(self, program, lease, upstream):
         core = self._core
 
         async def handle(request):
             match request:
                 case orders.PollUpstream():
-                    return _status_of(await core.loads.poll(upstream))
+                    return _status_of(await core.load_reports.poll(upstream))
                 case orders.HoldUpstream(order_id=order_id):
                     return await self._hold(upstream.name, order_id)
                 case orders.ReleaseHold(order_id=order_id):
                     return await self._release_hold(upstream.name, order_id)
                 case orders.SendOrder(order=order):
-                    return await self._send(authority, upstream, order)
-            return await core.run_request(request)
+                    return await self._send(lease, upstream, order)
+            return await core.run_effect(request)
 
-        return await core.run(program, handle)
+        return await core.run_program(program, handle)
 
-    def _wish_of_operators(self, shard, upstream):
+    def _configured_role(self, shard, upstream):
         core = self._core
         last = shard.orders.get(upstream.name)
         source = core.documents.revision_of(f'upstream/{upstream.name}')
@@ -171,69 +180,72 @@
             return None
         if last is not None and last.source >= source:
             return None
-        seen = core.loads.latest(upstream.name)
-        if seen is None or seen.message.failed or not seen.message.role:
+        report = core.load_reports.latest(upstream.name)
+        if report is None or report.message.failed or not report.message.role:
             return None
-        if seen.message.role == upstream.role:
+        if report.message.role == upstream.role:
             return None
-        return self._wish(shard, upstream, upstream.role)
+        return self._desired_role(shard, upstream, upstream.role)
 
-    def _wish(self, shard, upstream, role):
+    def _desired_role(self, shard, upstream, role):
         source = self._core.documents.revision_of(f'upstream/{upstream.name}')
         order_id = f'{upstream.name}-{shard.epoch + 1}'
         return orders.DesiredRole(str(role), source, order_id)
 
     async def _hold(self, upstream_name, order_id):
         core = self._core
-        asked_at = core.now()
+        requested_at = core.now()
         request = peer_pb2.HoldRequest(
             upstream=upstream_name, order_id=order_id, ttl_s=HOLD_TTL_S
         )
-        own = core.loads.hold(request)
-        replies = await core.peers.all('Hold', request)
-        replies[core.name] = own
+        own_reply = core.load_reports.hold(request)
+        replies = await core.peers.broadcast('Hold', request)
+        replies[core.name] = own_reply
         reports = {
-            name: orders.DrainReport(name, reply.jobs, asked_at, HOLD_TTL_S)
+            name: orders.DrainReport(
+                name, reply.jobs, requested_at, HOLD_TTL_S
+            )
             for name, reply in replies.items()
             if reply is not None
         }
-        names = [k.name for k in core.members.maybe_alive(core.now())]
+        names = [peer.name for peer in core.members.maybe_alive(core.now())]
         return orders.HoldState(tuple(names), reports)
 
-    async def _send(self, authority, upstream, order):
+    async def _send(self, lease, upstream, order):
         core = self._core
 
         def send():
-            # The lease is checked last, right before the send.
-            if time.monotonic() >= authority.expires_at:
+            # Checked in the worker thread, right before sending, as the
+            # lease may end while the call waits for a thread.
+            if time.monotonic() >= lease.expires_at:
                 return None
             return core.upstreams.order(upstream.address, order)
 
-        if not authority.begin_send():
+        if not lease.begin_send():
             return None
         try:
-            answer = await core.call(send)
+            answer = await core.run_blocking(send)
         finally:
-            authority.end_send()
+            lease.end_send()
         return None if answer is None else answer.taken
 
     async def _release_hold(self, upstream_name, order_id):
         request = peer_pb2.HoldRequest(
             upstream=upstream_name, order_id=order_id, release=True
         )
-        self._core.loads.hold(request)
-        await self._core.peers.all('Hold', request)
+        self._core.load_reports.hold(request)
+        await self._core.peers.broadcast('Hold', request)
 
-    async def _plan(self, authority, pool, upstreams):
+    async def _plan_role_change(self, lease, pool, upstreams):
         core = self._core
         now = core.now()
-        estimates = [core.scheduler.estimates.get(r.name) for r in upstreams]
-        estimates = [b for b in estimates if b is not None and b.report]
+        estimates = [core.scheduler.estimates.get(u.name) for u in upstreams]
+        estimates = [e for e in estimates if e is not None and e.report]
         if len(estimates) < len(upstreams) or len(estimates) < 2:
             return
         change = placement.plan_roles(
             estimates,
-            self._rates(pool, now),
+            self._demand_rates(pool, now),
             core.catalog.policy_of(pool),
             0,
             now,
@@ -242,14 +254,20 @@
             return
         upstream = core.catalog.get('upstream', change.upstream)
         core.event('role.planned', upstream.name, change.terms)
-        wish = self._wish(authority.shard, upstream, change.role)
-        await self._step(authority, upstream, wish)
+        desired = self._desired_role(lease.shard, upstream, change.role)
+        await self._step(lease, upstream, desired)
+
+    def _demand_rates(self, pool, now):
+        """Returns the demand on a pool at all instances.
 
-    def _rates(self, pool, now):
+        Returns:
+            Pairs of prefill and decode tokens per second: over the short
+            and over the long window.
+        """
         own = self._core.scheduler.demands(now).get(pool.name)
         found = [own] if own else []
-        for at, demands in self._core.beats.demands.values():
-            if now - at < DEMAND_LIFE_S and pool.name in demands:
+        for at, demands in self._core.heartbeats.demands.values():
+            if now - at < DEMAND_MAX_AGE_S and pool.name in demands:
                 found.append(demands[pool.name])
         return [
             tuple(sum(rates[view][side] for rates in found) for side in (0, 1))
@@ -257,39 +275,42 @@
         ]
 
     async def hold_for_drain(self, upstream_name):
-        """Holds an upstream everywhere at once, also without the store.
+        """Puts a hold on an upstream at all live instances, without the store.
+
+        It is renewed until the drain is stored or taken back.
 
         Returns:
-            Names of the live instances that did not confirm it.
+            Names of the live instances that did not confirm the hold.
         """
-        self._drains[upstream_name] = self._core.now()
-        held = await self._hold(upstream_name, f'drain:{upstream_name}')
+        self._drain_holds[upstream_name] = self._core.now()
+        hold = await self._hold(upstream_name, f'drain:{upstream_name}')
         live = self._core.members.live(self._core.now())
-        return [k.name for k in live if k.name not in held.reports]
+        return [peer.name for peer in live if peer.name not in hold.reports]
 
     async def end_drain(self, upstream_name):
-        """Takes the hold of a drain back."""
-        self._drains.pop(upstream_name, None)
+        """Releases the hold of a drain."""
+        self._drain_holds.pop(upstream_name, None)
         await self._release_hold(upstream_name, f'drain:{upstream_name}')
 
     async def _renew_drains(self):
-        for name in list(self._drains):
+        for name in list(self._drain_holds):
             upstream = self._core.catalog.get('upstream', name)
             stored = (
                 upstream is None
                 or upstream.state is not settings.UpstreamState.ACTIVE
             )
             if stored:
-                # Every instance follows the stored state from now on.
-                del self._drains[name]
+                # The stored state keeps new jobs off the upstream at
+                # every instance, so the hold is not needed any more.
+                del self._drain_holds[name]
             else:
                 await self.hold_for_drain(name)
 
     async def release_all(self):
-        """Releases every shard that is held."""
-        for name, authority in self._authorities.items():
-            if authority.shard is not None:
-                await self._core.run(authority.release())
+        """Releases the leases of all shards that this instance holds."""
+        for name, lease in self._shard_leases.items():
+            if lease.shard is not None:
+                await self._core.run_program(lease.release())
                 self._core.event('shard.released', name)
 
 
