--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -56,12 +56,12 @@
             stage = _engine.Stage.DIRECT
         self._submit(placement.prefill_engine, stage, placement.priority, now)
 
-    def _submit(self, upstream, stage, priority, now, source=None):
+    def _submit(self, upstream, stage, priority, now, kv_source=None):
         engine = self._day.engines[upstream.entry.id]
         first, end = self._first, self._whole
         if stage is _engine.Stage.PREFILL:
             first, end = self._read, self._ignore
-        self._work = _engine.Work(
+        self._work = _engine.EngineRequest(
             self._arrival.prompt,
             self._arrival.events,
             self._arrival.kind.event_tokens,
@@ -70,7 +70,7 @@
             self._delayed(first),
             self._delayed(end),
             self._delayed(self._engine_refused),
-            source,
+            kv_source,
         )
         self._sent_at = now
         self._day.schedule(
@@ -99,7 +99,7 @@
         placement.decode.active += 1
         self._submit(
             placement.decode,
-            _engine.Stage.ANSWER,
+            _engine.Stage.DECODE,
             dispatch.HANDOVER_PRIORITY,
             now,
             self._day.engines[placement.prefill.entry.id],
@@ -135,7 +135,7 @@
     def _deadline(self, _now):
         if self._ended:
             return
-        self._work.left = True
+        self._work.cancelled = True
         self._finish()
         self._day.vain_tokens += self._placement.uncached_tokens
         self._day.tallies[self._arrival.kind.name].unserved += 1
@@ -145,7 +145,7 @@
         self._ended = True
         placement = self._placement
         upstream = placement.prefill_engine
-        if self._work.stage is _engine.Stage.ANSWER:
+        if self._work.stage is _engine.Stage.DECODE:
             upstream = placement.decode
         upstream.active -= 1
         self._placer.ended(placement)
