--- a/dandelionwinch/bench/overload/_engine.py
+++ b/dandelionwinch/bench/overload/_engine.py
@@ -134,7 +134,10 @@
                 self._queue_prefill(req, now)
 
     def _queue_prefill(self, req, now):
-        """Occupies a slot; prompts are prefilled one at a time, by priority."""
+        """Occupies a slot, and waits until the prompt can be prefilled.
+
+        An engine prefills one prompt at a time, by priority.
+        """
         self._free_slots -= 1
         self._sequence += 1
         heapq.heappush(self._to_prefill, (req.priority, self._sequence, req))
--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -121,10 +121,10 @@
         if taken_s <= kind.objective_s and longest_s <= kind.pause_s:
             tally.in_time += 1
             self._day.window(self._arrival)[1] += 1
-            tally.credit += kind.worth * self._arrival.size_worth
+            tally.credit += kind.worth * self._arrival.size_factor
         else:
             tally.late += 1
-            tally.credit += kind.late_worth * self._arrival.size_worth
+            tally.credit += kind.late_worth * self._arrival.size_factor
 
     def _engine_refused(self, now):
         if self._ended:
--- a/dandelionwinch/bench/overload/_simulation.py
+++ b/dandelionwinch/bench/overload/_simulation.py
@@ -151,7 +151,7 @@
         tally = self.tallies[arrival.kind.name]
         tally.asked += 1
         self.window(arrival)[0] += 1
-        tally.owed += arrival.kind.worth * arrival.size_worth
+        tally.owed += arrival.kind.worth * arrival.size_factor
         _request.Request(self, arrival, now, returned=False).start(now)
 
     def _result(self):
