--- a/dandelionwinch/bench/overload/__init__.py
+++ b/dandelionwinch/bench/overload/__init__.py
@@ -1,4 +1,4 @@
-"""A model of model engines under more load than they carry."""
+"""A simulation of model engines under overload, in virtual time."""
 
 from dandelionwinch.bench.overload._load import Burst
 from dandelionwinch.bench.overload._load import Load
