--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -1,4 +1,4 @@
-"""Follows the store and keeps routes, upstreams and instances in step."""
+"""Follows the store and applies its changes to the local instance."""
 
 import asyncio
 import traceback
@@ -9,43 +9,59 @@
 from dandelionwinch.control import _store
 from dandelionwinch import upstreams
 
-EVERYTHING = ''
-WATCH_S = 3.0
+ALL_KEYS = ''
+WATCH_TIMEOUT_S = 3.0
+# Pause between watches, so that each one returns several changes.
 COALESCE_S = 0.4
-INSTANCE_S = 0.01
+COALESCE_PER_INSTANCE_S = 0.01
 MAX_COALESCE_S = 1.2
 BACKOFF_S = 0.3
 MAX_BACKOFF_S = 1.5
 
 
 class StoreSync:
-    """A task that owns what is known from the store."""
+    """A task that watches the store and applies each change.
+
+    Args:
+        loop: Event loop.
+        store: Store.
+        store_codec: StoreCodec of the entries.
+        gateway: Gateway that gets routes, upstreams and the instance count.
+        capacity: Capacity of the local instance.
+        log: EventLog.
+        rng: Random number generator.
+        on_config: Function that is called with each new RouteTable.
+
+    Attributes:
+        holder: Name of the holder of the order lease, or ''.
+        registered: The RegisteredInstances.
+    """
 
     __slots__ = (
-        '_guard',
         '_capacity',
-        '_store_codec',
         '_gateway',
+        '_guard',
         '_log',
         '_loop',
-        '_reached_at',
         '_revision',
         '_rng',
         '_store',
+        '_store_codec',
+        '_store_reached_at',
         '_synced',
         '_task',
         'holder',
-        'members',
         'on_config',
+        'registered',
     )
 
     def __init__(
-        self, loop, store, store_codec, served, capacity, log, rng, on_config
+        self, loop, store, store_codec, gateway, capacity, log, rng, on_config
     ):
         self._loop = loop
         self._store = store
         self._store_codec = store_codec
-        self._gateway = served
+        self._gateway = gateway
         self._capacity = capacity
         self._log = log
         self._rng = rng
@@ -53,9 +69,9 @@
         self._revision = 0
         self._task = None
         self._synced = False
-        self._reached_at = float('-inf')
+        self._store_reached_at = float('-inf')
         self.holder = ''
-        self.members = _registered.RegisteredInstances()
+        self.registered = _registered.RegisteredInstances()
         self.on_config = on_config
 
     def start(self):
@@ -69,11 +85,11 @@
 
     def age_s(self):
         """Returns the seconds since the store last answered."""
-        return self._loop.time() - self._reached_at
+        return self._loop.time() - self._store_reached_at
 
     @property
     def ready(self):
-        """Tells whether routes are known."""
+        """Whether a route table was received."""
         return self._gateway.fleet.table is not None
 
     async def _run(self):
@@ -90,40 +106,41 @@
                 self._log.event('store.history_gone', reason=str(exc))
                 listed = False
             except _store.StoreFailed as exc:
-                self._failed(exc)
+                self._store_failed(exc)
                 await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
             except Exception:
-                # Beliefs must not stop being followed for one bad answer.
+                # One malformed response must not end the watch.
                 self._log.event('store.fault', trace=traceback.format_exc())
                 listed = False
                 await asyncio.sleep(MAX_BACKOFF_S)
 
-    def _failed(self, exc):
+    def _store_failed(self, exc):
         if self._synced:
             self._log.event('store.lost', reason=str(exc))
         self._synced = False
         self._guard.store_failed(self._loop.time())
 
-    def _reached(self):
+    def _store_reached(self):
         if not self._synced:
             self._log.event('store.reached', revision=self._revision)
         self._synced = True
-        self._reached_at = self._loop.time()
+        self._store_reached_at = self._loop.time()
 
     async def _list(self):
-        listing = await self._store.list(EVERYTHING)
+        listing = await self._store.list(ALL_KEYS)
         now = self._loop.time()
         self._revision = listing.revision
-        self._reached()
+        self._store_reached()
         keys = {item.key for item in listing.items}
         if _order_leader.HOLDER_KEY not in keys:
             self.holder = ''
-        # Announced changes are judged by the entries of their engines.
-        ordered = sorted(listing.items, key=_is_change)
+        # An announced role change is compared with its engine's entry, so
+        # entries come first.
+        ordered = sorted(listing.items, key=_is_role_change)
         for item in ordered:
             self._apply(item, now)
-        self._vanish(
+        self._remove_upstreams(
             [
                 upstream.entry.id
                 for upstream in self._gateway.fleet.registry
@@ -132,18 +149,20 @@
             ],
             now,
         )
-        for key in list(self.members.present):
+        for key in list(self.registered.entries):
             if key not in keys:
                 self._remove_instance(key)
-        self._settle(now)
+        self._after_response(now)
 
     async def _watch(self):
         due_s = self._guard.next_due_s(self._loop.time())
-        wait_s = WATCH_S if due_s is None else min(WATCH_S, due_s)
-        listing = await self._store.watch(EVERYTHING, self._revision, wait_s)
+        wait_s = (
+            WATCH_TIMEOUT_S if due_s is None else min(WATCH_TIMEOUT_S, due_s)
+        )
+        listing = await self._store.watch(ALL_KEYS, self._revision, wait_s)
         now = self._loop.time()
         self._revision = max(self._revision, listing.revision)
-        self._reached()
+        self._store_reached()
         gone = []
         for item in listing.items:
             upstream_id = self._store_codec.upstream_of(item.key)
@@ -153,15 +172,21 @@
             gone = [name for name in gone if name != upstream_id]
             self._apply(item, now)
         if gone:
-            self._vanish(gone, now)
-        self._settle(now)
+            self._remove_upstreams(gone, now)
+        self._after_response(now)
         if listing.items:
             await asyncio.sleep(self._coalesce_s())
 
     def _coalesce_s(self):
-        """Returns the pause before the next watch; each one is a call."""
-        instances = len(self.members.present)
-        return min(MAX_COALESCE_S, COALESCE_S + INSTANCE_S * instances)
+        """Returns the pause before the next watch.
+
+        It grows with the number of instances, as all of them call the
+        store.
+        """
+        instances = len(self.registered.entries)
+        return min(
+            MAX_COALESCE_S, COALESCE_S + COALESCE_PER_INSTANCE_S * instances
+        )
 
     def _apply(self, item, now):
         upstream_id = self._store_codec.upstream_of(item.key)
@@ -173,25 +198,25 @@
             self._apply_instance(item)
         elif item.key == _order_leader.HOLDER_KEY:
             self.holder = (item.value or b'').decode(errors='replace')
-        elif item.key == _order_leader.SIZE_KEY:
-            self._apply_size(item)
-        elif _is_change(item):
-            self._apply_change(item)
+        elif item.key == _order_leader.CAPACITY_KEY:
+            self._apply_capacity(item)
+        elif _is_role_change(item):
+            self._apply_role_change(item)
 
-    def _apply_size(self, item):
+    def _apply_capacity(self, item):
         text = (item.value or b'').decode(errors='replace')
         if text.isdigit():
-            self.members.note(float(text))
+            self.registered.set_stored_capacity(float(text))
 
-    def _apply_change(self, item):
+    def _apply_role_change(self, item):
         if item.value is None:
             return
-        name = item.key.removeprefix(_order_leader.CHANGE_PREFIX)
+        name = item.key.removeprefix(_order_leader.ROLE_CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
         upstream = self._gateway.fleet.registry.get(name)
         if upstream is None or upstream.entry.role.value == role:
             return
-        self._gateway.begin_role_change(name, _order_leader.CHANGE_S)
+        self._gateway.begin_role_change(name, _order_leader.ROLE_CHANGE_S)
         self._log.event('upstream.changing', upstream=name, role=role)
 
     def _apply_config(self, item):
@@ -219,14 +244,18 @@
             self._log.event('upstream.invalid', finding=exc.message)
             registry.remove(name, now)
             return
-        known = registry.get(name)
-        before = known.entry if known else None
+        upstream = registry.get(name)
+        previous = upstream.entry if upstream else None
         self._guard.registered(name)
         if registry.apply(entry):
             self._gateway.placer.forget(name)
-        if before is not None and before.role is not entry.role:
+        if previous is not None and previous.role is not entry.role:
             self._gateway.end_role_change(name)
-        if before is None or (before.ready, before.role, before.born) != (
+        if previous is None or (
+            previous.ready,
+            previous.role,
+            previous.born,
+        ) != (
             entry.ready,
             entry.role,
             entry.born,
@@ -242,22 +271,24 @@
                 revision=item.revision,
             )
 
-    def _vanish(self, upstream_ids, now):
-        known = sum(
-            1 for b in self._gateway.fleet.registry if b.gone_at is None
+    def _remove_upstreams(self, upstream_ids, now):
+        registered = sum(
+            1
+            for upstream in self._gateway.fleet.registry
+            if upstream.gone_at is None
         )
-        for name in self._guard.deregistered(upstream_ids, known, now):
-            self._gone(name, now, held=False)
+        for name in self._guard.deregistered(upstream_ids, registered, now):
+            self._remove_upstream(name, now, held=False)
 
-    def _settle(self, now):
-        """Does what is due after each answer of the store."""
+    def _after_response(self, now):
+        """Applies what is due after each response of the store."""
         self._gateway.set_instance_count(
-            self.members.parts(self._capacity, now)
+            self.registered.instance_count(self._capacity, now)
         )
         for name in self._guard.due(now):
-            self._gone(name, now, held=True)
+            self._remove_upstream(name, now, held=True)
 
-    def _gone(self, name, now, held):
+    def _remove_upstream(self, name, now, held):
         self._gateway.fleet.registry.remove(name, now)
         self._log.event('upstream.gone', upstream=name, held=held)
 
@@ -266,18 +297,18 @@
             self._remove_instance(item.key)
             return
         try:
-            presence = _registration.read_presence(item.value)
+            entry = _registration.read_entry(item.value)
         except _store.EntryInvalid as exc:
             self._log.event(
                 'instance.invalid', key=item.key, reason=exc.message
             )
             return
-        self.members.add(item.key, presence)
+        self.registered.add(item.key, entry)
 
     def _remove_instance(self, key):
-        if self.members.remove(key):
+        if self.registered.remove(key):
             self._log.event('instance.gone', key=key)
 
 
-def _is_change(item):
-    return item.key.startswith(_order_leader.CHANGE_PREFIX)
+def _is_role_change(item):
+    return item.key.startswith(_order_leader.ROLE_CHANGE_PREFIX)
