--- a/dandelionwinch/bench/_simulation.py
+++ b/dandelionwinch/bench/_simulation.py
@@ -219,7 +219,7 @@
             )
             for prefix in dropped:
                 self._after(
-                    lag_s, self._policy.dropped, instance, number, prefix
+                    lag_s, self._policy.evicted, instance, number, prefix
                 )
 
     def _report(self, engine):
@@ -264,7 +264,7 @@
                 continue
             self._role_changes += 1
             engine.draining_to = role
-            self._policy.hold(number, True)
+            self._policy.set_held(number, True)
             self._advance(engine)
             self._schedule(engine)
 
@@ -278,7 +278,7 @@
         engine.draining_to = None
         engine.away = False
         engine.cache.clear()
-        self._policy.hold(engine.number, False)
+        self._policy.set_held(engine.number, False)
 
     def _fault(self, fault):
         engine = self._engines[fault.upstream]
@@ -309,7 +309,7 @@
         engine.away = False
         lost = engine.crash()
         self._policy.failed(engine.number, self._now)
-        self._policy.hold(engine.number, False)
+        self._policy.set_held(engine.number, False)
         for state in lost:
             self._again(state)
 
