--- a/dandelionwinch/bench/_engine.py
+++ b/dandelionwinch/bench/_engine.py
@@ -61,7 +61,7 @@
         self._capacity = capacity
         self._total_tokens = 0
 
-    def hit(self, prefix, tokens):
+    def hit_tokens(self, prefix, tokens):
         """Returns how many tokens of a prefix are cached."""
         cached_tokens = self._sizes.get(prefix, 0)
         if cached_tokens:
