--- a/dandelionwinch/bench/_plot.py
+++ b/dandelionwinch/bench/_plot.py
@@ -1,15 +1,15 @@
-"""Draws a run of the mix bench; needs the optional extra "plots"."""
+"""Plots a run of the mix bench; needs the optional extra "plots"."""
 
 from dandelionwinch import errors
 
 
 def draw(trace, results, path):
-    """Writes a picture of mix, roles and goodput over time.
+    """Writes a plot of load, goodput and roles over time.
 
     Args:
         trace: The Trace.
         results: Results of one or more policies.
-        path: File to write; its ending decides the format.
+        path: File to write; its suffix decides the format.
 
     Raises:
         BadRequest: If the plotting library is not installed.
@@ -25,7 +25,7 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(3, 1, figsize=(9, 8), sharex=True)
-    _draw_mix(axes[0], results[0].samples)
+    _draw_load(axes[0], results[0].samples)
     for result in results:
         _draw_result(axes[1], axes[2], result)
     axes[0].set_ylabel('tokens/s arriving')
@@ -39,8 +39,8 @@
     pyplot.close(figure)
 
 
-def _draw_mix(axis, samples):
-    period_s = _period(samples)
+def _draw_load(axis, samples):
+    period_s = _period_s(samples)
     times = [sample.at_s for sample in samples]
     axis.plot(
         times,
@@ -57,7 +57,7 @@
 
 def _draw_result(goodput, roles, result):
     samples = result.samples
-    period_s = _period(samples)
+    period_s = _period_s(samples)
     times = [sample.at_s for sample in samples]
     good = [sample.goodput_tokens / period_s for sample in samples]
     goodput.plot(times, good, label=result.policy, linewidth=1)
@@ -66,5 +66,5 @@
     roles.step(times, upstreams, label=label, linewidth=1)
 
 
-def _period(samples):
+def _period_s(samples):
     return samples[0].at_s if samples else 1.0
