--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -1,55 +1,60 @@
-"""Searches for calls that run twice or are reported falsely."""
+"""Searches for calls that run twice or are reported wrongly."""
 
 import attrs
 
 from dandelionwinch import claims
 from dandelionwinch import effects
 from dandelionwinch import membership
-from dandelionwinch.search import _world
+from dandelionwinch.search import _simulation
 from dandelionwinch import settings
 
 INSTANCES = 3
 KEYS = 12
 RUN_S = 300.0
 FAULTS_UNTIL_S = 180.0
-CONNECTION_WORST_S = 12.0
-SETTLE_S = CONNECTION_WORST_S + 1
+MAX_DELIVERY_DELAY_S = 12.0
+GONE_MARGIN_S = MAX_DELIVERY_DELAY_S + 1
 LIST_LAG_S = 5.0
-RESOLVE_S = 2.0
+RESOLVE_INTERVAL_S = 2.0
 BUCKET = claims.bucket_key(0)
 _CFG = settings.ClaimSettings(buckets=1)
 
 
 @attrs.frozen
 class _Answer:
-    """A back end's answer to one call."""
+    """The answer of the backend to one call."""
 
     token: str
 
 
 @attrs.define
-class _BackEnd:
-    """Carries calls out and knows them by key.
+class _Backend:
+    """Executes calls and counts them by idempotency key.
 
     Attributes:
-        runs: Tokens of the calls carried out, by key.
+        asks_by_key: Whether it can report the outcome of a key.
+        runs: Tokens of the executed calls, by key.
     """
 
     asks_by_key: bool
     runs: dict = attrs.field(factory=dict)
 
     def run(self, key, token, now):
-        """Carries out a call; at most one for each key."""
+        """Executes a call.
+
+        Raises:
+            InvariantViolated: If a call with the same key was executed.
+        """
         before = self.runs.setdefault(key, [])
         before.append(token)
         if len(before) > 1:
-            raise _world.Broken(
+            raise _simulation.InvariantViolated(
                 f'{now:.2f} s: key "{key}" ran twice: {before}'
             )
         return _Answer(token)
 
     def outcome(self, key):
-        """Answers what became of a key."""
+        """Returns the outcome of the calls with a key."""
         if not self.asks_by_key:
             return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         tokens = self.runs.get(key)
@@ -59,42 +64,40 @@
 
 
 class _Instance:
-    """One instance that serves calls and resolves claims."""
+    """An instance that serves calls and resolves unfinished claims."""
 
-    def __init__(self, search, process):
-        self.search = search
+    def __init__(self, scenario, process):
+        self.scenario = scenario
         self.process = process
-        self.departures = membership.Departures(SETTLE_S)
-        self._backlog = []
+        self.departures = membership.Departures(GONE_MARGIN_S)
+        self._unwritten = []
         self._calls = {}
         self._sequence = 0
 
     def start(self):
         """Starts the periodic steps."""
-        self.process.soon(RESOLVE_S, self._resolve)
-        self.process.soon(1.0, self._settle)
+        self.process.call_later(RESOLVE_INTERVAL_S, self._resolve)
+        self.process.call_later(1.0, self._retry_closes)
 
-    def serve(self, key, told):
-        """Serves a client's request; calls ``told`` with the result."""
+    def serve(self, key, on_result):
+        """Serves a client's call; passes its token and result on."""
         self._sequence += 1
         token = f'{self.process.name}#1#{self._sequence}'
-        opening = claims.Open(key, token, 'request')
-        program = claims.run_at_most_once(
-            opening, False, 2.0, self._record(opening)
-        )
-        self._calls[program] = opening
+        call = claims.Open(key, token, 'request')
+        program = claims.run_at_most_once(call, False, 2.0, self._record(call))
+        self._calls[program] = call
 
         def done(result):
-            told(token, result)
+            on_result(token, result)
 
-        self.process.run(_Tagged(program, opening), done)
+        self.process.run(_TaggedProgram(program, call), done)
 
     @staticmethod
-    def _record(opening):
+    def _record(call):
         def record(answer):
             return claims.Close(
-                opening.key,
-                opening.token,
+                call.key,
+                call.token,
                 claims.State.DONE,
                 answer=answer.token,
                 kept=True,
@@ -107,8 +110,8 @@
         self.process.run(program, lambda results: done(results[0]))
 
     def handle(self, process, request, reply):
-        """Serves the requests of the programs."""
-        request, opening = request
+        """Serves the effects that the programs request."""
+        request, call = request
         match request:
             case claims.OpenClaim(mutation=mutation):
                 self._open(mutation, reply)
@@ -116,14 +119,14 @@
                 self._close(mutation)
                 reply(None)
             case claims.SendCall():
-                self._send(opening, reply)
+                self._send(call, reply)
             case claims.QueryOutcome():
-                self.search.ask(opening.key, reply)
+                self.scenario.query_outcome(call.key, reply)
 
     def _open(self, mutation, reply):
         def done(result):
             if isinstance(result, claims.Unsettled):
-                self._backlog.append(
+                self._unwritten.append(
                     claims.Close(
                         mutation.key, mutation.token, claims.State.NOT_RUN
                     )
@@ -135,26 +138,26 @@
     def _close(self, mutation):
         def done(result):
             if not isinstance(result, claims.Recorded):
-                self._backlog.append(mutation)
+                self._unwritten.append(mutation)
 
         self._write(mutation, done)
 
-    def _settle(self):
-        self.process.soon(1.0, self._settle)
-        backlog, self._backlog = self._backlog, []
-        for mutation in backlog:
+    def _retry_closes(self):
+        self.process.call_later(1.0, self._retry_closes)
+        unwritten, self._unwritten = self._unwritten, []
+        for mutation in unwritten:
             self._close(mutation)
 
-    def _send(self, opening, reply):
-        world = self.search.world
-        if world.fault(0.05):
-            # Paused after the last check and right before the send.
-            self.process.pause(_world.LONGEST_PAUSE_S * world.rng.random())
-        self.process.soon(0, self.search.send, opening, reply)
+    def _send(self, call, reply):
+        sim = self.scenario.sim
+        if sim.should_fail(0.05):
+            # Pauses between the last check and the send.
+            self.process.pause(_simulation.MAX_PAUSE_S * sim.rng.random())
+        self.process.call_later(0, self.scenario.send, call, reply)
 
     def _resolve(self):
-        self.process.soon(RESOLVE_S, self._resolve)
-        self.departures.list_read(self.search.platform.read())
+        self.process.call_later(RESOLVE_INTERVAL_S, self._resolve)
+        self.departures.list_read(self.scenario.live_list.read())
         self.process.run(_read_bucket(), self._resolve_all)
 
     def _resolve_all(self, bucket):
@@ -171,13 +174,13 @@
         if not claims.needs_resolution(claim, gone):
             return
 
-        def asked(outcome):
+        def resolve(outcome):
             state = claims.resolved_state(
                 claim,
                 outcome.status,
                 gone,
                 clock.wall - claim.changed,
-                SETTLE_S,
+                GONE_MARGIN_S,
             )
             if state is None or state is claim.state:
                 return
@@ -186,22 +189,22 @@
                 claims.Close(claim.key, claim.token, state, answer=answer)
             )
 
-        self.search.ask(claim.key, asked)
+        self.scenario.query_outcome(claim.key, resolve)
 
 
-class _Tagged:
-    """A program whose requests carry the call that they belong to."""
+class _TaggedProgram:
+    """A program that attaches its call to each request."""
 
-    def __init__(self, program, opening):
+    def __init__(self, program, call):
         self._program = program
-        self._opening = opening
+        self._call = call
 
     def send(self, reply):
-        """Goes on with the program."""
+        """Resumes the program and returns its next request."""
         request = self._program.send(reply)
         if isinstance(request, effects.Clock):
             return request
-        return (request, self._opening)
+        return (request, self._call)
 
 
 def _read_bucket():
@@ -211,42 +214,46 @@
     return claims.Bucket.load(_CFG, reply.record.value)
 
 
-class _Search(_world.Scene):
-    """One seeded run of clients that repeat their calls."""
+class _ClaimScenario(_simulation.Scenario):
+    """A run with clients that repeat calls with the same keys."""
 
     def __init__(self, seed):
         super().__init__(seed, FAULTS_UNTIL_S, LIST_LAG_S, 0.1)
-        self.back_end = _BackEnd(self.world.chance(0.7))
+        self.backend = _Backend(self.sim.chance(0.7))
         self._not_run = {}
-        self._told_done = set()
+        self._reported_done = set()
 
     def run(self):
-        """Runs to the end, then checks what the clients were told."""
+        """Runs to the end and checks the results that clients got."""
         for _number in range(INSTANCES):
             self.start_instance(_Instance)
         for number in range(KEYS):
-            delay_s = FAULTS_UNTIL_S * self.world.rng.random()
-            self.world.after(delay_s, self._ask, f'service/key-{number}')
-        self.world.after(1, self._disturb)
-        self.world.run(RUN_S)
+            delay_s = FAULTS_UNTIL_S * self.sim.rng.random()
+            self.sim.call_later(
+                delay_s, self._send_requests, f'service/key-{number}'
+            )
+        self.sim.call_later(1, self._inject_faults)
+        self.sim.run(RUN_S)
         self._check()
-        return self.world.faults
+        return self.sim.faults
 
-    def _ask(self, key):
-        """A client asks some instances, again and again."""
-        world = self.world
-        if world.now > RUN_S - 20:
+    def _send_requests(self, key):
+        """Sends calls with a key to some instances, repeatedly."""
+        sim = self.sim
+        if sim.now > RUN_S - 20:
             return
-        for _copy in range(world.rng.choice((1, 1, 2))):
-            instance = world.rng.choice(self.instances)
-            instance.process.soon(0, instance.serve, key, self._told(key))
-        world.after(1 + 20 * world.rng.random(), self._ask, key)
+        for _copy in range(sim.rng.choice((1, 1, 2))):
+            instance = sim.rng.choice(self.instances)
+            instance.process.call_later(
+                0, instance.serve, key, self._on_result(key)
+            )
+        sim.call_later(1 + 20 * sim.rng.random(), self._send_requests, key)
 
-    def _told(self, key):
-        def told(token, result):
+    def _on_result(self, key):
+        def record(token, result):
             match result:
                 case claims.Done():
-                    self._told_done.add(key)
+                    self._reported_done.add(key)
                 case claims.NotRun():
                     self._not_run[token] = key
                 case claims.NotGranted(
@@ -255,92 +262,99 @@
                     self._not_run[token] = key
                 case claims.NotGranted(result=claims.Held(claim=claim)):
                     if claim.state is claims.State.DONE:
-                        self._told_done.add(key)
+                        self._reported_done.add(key)
 
-        return told
+        return record
 
-    def _disturb(self):
-        world = self.world
-        if world.now > FAULTS_UNTIL_S:
+    def _inject_faults(self):
+        sim = self.sim
+        if sim.now > FAULTS_UNTIL_S:
             self.store.down_until = 0.0
             return
-        world.after(8 * world.rng.random(), self._disturb)
-        instance = world.rng.choice(self.instances)
-        match world.rng.randrange(4):
+        sim.call_later(8 * sim.rng.random(), self._inject_faults)
+        instance = sim.rng.choice(self.instances)
+        match sim.rng.randrange(4):
             case 0:
-                seconds = _world.LONGEST_PAUSE_S * world.rng.random()
+                seconds = _simulation.MAX_PAUSE_S * sim.rng.random()
                 instance.process.pause(seconds)
-            case 1 if world.chance(0.5):
+            case 1 if sim.chance(0.5):
                 self.replace(instance, _Instance)
             case 2:
-                self.store.outage(10 * world.rng.random())
+                self.store.outage(10 * sim.rng.random())
 
-    def send(self, opening, reply):
-        """Carries a call to the back end; parts of the way may fail."""
-        world = self.world
-        match world.rng.randrange(10):
+    def send(self, call, reply):
+        """Delivers a call to the backend; the call or its reply may fail."""
+        sim = self.sim
+        match sim.rng.randrange(10):
             case 0:
-                world.after(0.01, reply, claims.SendResult(False, None, True))
+                sim.call_later(
+                    0.01, reply, claims.SendResult(False, None, True)
+                )
             case 1:
-                world.faults.late_messages += 1
-                delay_s = CONNECTION_WORST_S * world.rng.random()
-                world.after(delay_s, self._run, opening)
-                world.after(5.0, reply, claims.SendResult(True))
+                sim.faults.late_messages += 1
+                delay_s = MAX_DELIVERY_DELAY_S * sim.rng.random()
+                sim.call_later(delay_s, self._run, call)
+                sim.call_later(5.0, reply, claims.SendResult(True))
             case 2:
-                world.after(0.01, self._run, opening)
-                world.after(5.0, reply, claims.SendResult(True))
+                sim.call_later(0.01, self._run, call)
+                sim.call_later(5.0, reply, claims.SendResult(True))
             case 3:
-                world.after(5.0, reply, claims.SendResult(True))
+                sim.call_later(5.0, reply, claims.SendResult(True))
             case _:
-                world.after(0.01, self._run_and_answer, opening, reply)
+                sim.call_later(0.01, self._run_and_answer, call, reply)
 
-    def _run(self, opening):
-        return self.back_end.run(opening.key, opening.token, self.world.now)
+    def _run(self, call):
+        return self.backend.run(call.key, call.token, self.sim.now)
 
-    def _run_and_answer(self, opening, reply):
-        answer = self._run(opening)
-        self.world.after(0.01, reply, claims.SendResult(True, answer))
+    def _run_and_answer(self, call, reply):
+        answer = self._run(call)
+        self.sim.call_later(0.01, reply, claims.SendResult(True, answer))
 
-    def ask(self, key, reply):
-        """Asks the back end what became of a key."""
-        world = self.world
-        if world.chance(0.1):
+    def query_outcome(self, key, reply):
+        """Delivers a query for the outcome of a key to the backend."""
+        sim = self.sim
+        if sim.chance(0.1):
             outcome = claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
-            world.after(2.0, reply, outcome)
+            sim.call_later(2.0, reply, outcome)
             return
-        world.after(0.01, reply, self.back_end.outcome(key))
+        sim.call_later(0.01, reply, self.backend.outcome(key))
 
     def _check(self):
-        runs = self.back_end.runs
-        for key in self._told_done:
+        runs = self.backend.runs
+        for key in self._reported_done:
             if not runs.get(key):
-                raise _world.Broken(f'key "{key}" was reported done')
+                raise _simulation.InvariantViolated(
+                    f'key "{key}" was reported as done but never ran'
+                )
         ran = {token for tokens in runs.values() for token in tokens}
         for token, key in self._not_run.items():
             if token in ran:
-                raise _world.Broken(
-                    f'call "{token}" of key "{key}" ran although its client '
-                    'was told "not run"'
+                raise _simulation.InvariantViolated(
+                    f'call "{token}" of key "{key}" ran although it was '
+                    'reported as not run'
                 )
-        if not self.back_end.asks_by_key:
+        if not self.backend.asks_by_key:
             return
-        bucket = claims.Bucket.load(_CFG, self.store.look(BUCKET))
-        left = [
+        bucket = claims.Bucket.load(_CFG, self.store.peek(BUCKET))
+        unresolved = [
             claim.key
             for claim in bucket.claims()
             if claim.state is claims.State.UNKNOWN
         ]
-        if left:
-            raise _world.Broken(f'claims {left} were never resolved')
+        if unresolved:
+            raise _simulation.InvariantViolated(
+                f'claims {unresolved} were never resolved'
+            )
 
 
 def search_claims(seed):
-    """Runs one seed.
+    """Runs one seed and checks that calls run at most once.
 
     Returns:
         The Faults that were injected.
 
     Raises:
-        Broken: If a promise was broken.
+        InvariantViolated: If a call ran twice, was reported wrongly, or its
+            claim was never resolved.
     """
-    return _Search(seed).run()
+    return _ClaimScenario(seed).run()
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -1,26 +1,33 @@
-"""Searches for conflicting or stale orders to upstreams."""
+"""Searches for overlapping or stale role orders to upstreams."""
 
 import attrs
 
 from dandelionwinch import membership
 from dandelionwinch import orders
-from dandelionwinch.search import _world
+from dandelionwinch.search import _simulation
 from dandelionwinch import settings
 
 INSTANCES = 3
 RUN_S = 400.0
 FAULTS_UNTIL_S = 250.0
-CONNECTION_WORST_S = 12.0
+MAX_DELIVERY_DELAY_S = 12.0
 EXECUTION_S = 6.0
-STEP_S = 0.5
+STEP_INTERVAL_S = 0.5
 LIST_LAG_S = 5.0
 SHARD = 'Nanyuki/counter-lm'
-_TIMING = settings.TimingSettings(gone_margin_s=CONNECTION_WORST_S + 1)
+_TIMING = settings.TimingSettings(gone_margin_s=MAX_DELIVERY_DELAY_S + 1)
 
 
 @attrs.define
 class _Upstream:
-    """An upstream that carries orders out, and what it saw."""
+    """An upstream that executes orders and checks their sequence.
+
+    Attributes:
+        order_id: The last order that it accepted.
+        epoch: Fencing token of that order.
+        busy_until: Virtual time at which that order is executed.
+        applied: Epoch and id of each order that changed the role.
+    """
 
     cfg: settings.Upstream
     order_id: str = ''
@@ -29,19 +36,24 @@
     busy_until: float = 0.0
     applied: list = attrs.field(factory=list)
 
-    def take(self, order, now):
-        """Takes an order and returns whether it did so."""
+    def apply_order(self, order, now):
+        """Applies an order, and returns False if its token is fenced off.
+
+        Raises:
+            InvariantViolated: If the order overlaps with another one, or
+                is older than one that was already applied.
+        """
         if self.cfg.checks_fencing and order.epoch < self.epoch:
             return False
         if order.id == self.order_id:
             return True
         if now < self.busy_until:
-            raise _world.Broken(
-                f'{now:.2f} s: upstream "{self.cfg.name}" got order '
-                f'"{order.id}" while it carries out "{self.order_id}"'
+            raise _simulation.InvariantViolated(
+                f'{now:.2f} s: upstream "{self.cfg.name}" received order '
+                f'"{order.id}" while it executes "{self.order_id}"'
             )
         if self.applied and order.epoch < max(e for e, _id in self.applied):
-            raise _world.Broken(
+            raise _simulation.InvariantViolated(
                 f'{now:.2f} s: stale order "{order.id}" of epoch '
                 f'{order.epoch} changed upstream "{self.cfg.name}"'
             )
@@ -53,65 +65,61 @@
         return True
 
     def status(self, now):
-        """Returns the upstream's own word."""
-        away = now < self.busy_until
-        return orders.UpstreamStatus(self.order_id, away, 0, self.epoch)
+        """Returns the state that the upstream reports."""
+        applying = now < self.busy_until
+        return orders.UpstreamStatus(self.order_id, applying, 0, self.epoch)
 
 
 class _Instance:
-    """One instance that leads the shard when it can."""
+    """An instance that executes orders while it holds the shard lease."""
 
-    def __init__(self, search, process):
-        self.search = search
+    def __init__(self, scenario, process):
+        self.scenario = scenario
         self.process = process
         self.departures = membership.Departures(_TIMING.gone_margin_s)
-        self.authority = orders.ShardLease(
+        self.lease = orders.ShardLease(
             SHARD, process.name, process.incarnation, _TIMING
         )
-        self.conductor = orders.OrderExecutor(
-            self.authority, _TIMING.gone_margin_s
-        )
-        self.leaving = False
-        self._steps = {}
+        self.executor = orders.OrderExecutor(self.lease, _TIMING.gone_margin_s)
+        self.stopping = False
+        self._running = {}
 
     def start(self):
         """Starts the periodic steps."""
-        self.process.soon(0, self._lead)
-        self.process.soon(0.1, self._conduct)
+        self.process.call_later(0, self._renew_lease)
+        self.process.call_later(0.1, self._execute_orders)
 
-    def _lead(self):
+    def _renew_lease(self):
         process = self.process
-        process.soon(_TIMING.lease_s / 4, self._lead)
-        self.departures.list_read(self.search.platform.read())
-        if self.leaving:
-            process.run(self.authority.release())
+        process.call_later(_TIMING.lease_s / 4, self._renew_lease)
+        self.departures.list_read(self.scenario.live_list.read())
+        if self.stopping:
+            process.run(self.lease.release())
         else:
-            fenced = all(r.cfg.checks_fencing for r in self.search.upstreams)
-            process.run(
-                self.authority.acquire(fenced, self.departures.is_gone)
-            )
+            fenced = all(u.cfg.checks_fencing for u in self.scenario.upstreams)
+            process.run(self.lease.acquire(fenced, self.departures.is_gone))
 
-    def _conduct(self):
-        self.process.soon(STEP_S, self._conduct)
-        if not self.authority.holds(self.process.now()):
+    def _execute_orders(self):
+        self.process.call_later(STEP_INTERVAL_S, self._execute_orders)
+        if not self.lease.holds(self.process.now()):
             return
-        for upstream in self.search.upstreams:
-            if self._steps.get(upstream.cfg.name):
+        for upstream in self.scenario.upstreams:
+            if self._running.get(upstream.cfg.name):
                 continue
-            self._steps[upstream.cfg.name] = True
-            wish = self._wish(upstream)
-            program = self.conductor.step(upstream.cfg, wish)
-            self.process.run(program, self._stepped(upstream.cfg.name))
+            self._running[upstream.cfg.name] = True
+            desired = self._desired_role(upstream)
+            program = self.executor.step(upstream.cfg, desired)
+            self.process.run(program, self._on_step_done(upstream.cfg.name))
 
-    def _stepped(self, name):
+    def _on_step_done(self, name):
         def done(_progress):
-            self._steps[name] = False
+            self._running[name] = False
 
         return done
 
-    def _wish(self, upstream):
-        shard = self.authority.shard
-        wanted, source = self.search.wanted[upstream.cfg.name]
+    def _desired_role(self, upstream):
+        shard = self.lease.shard
+        wanted, source = self.scenario.desired_roles[upstream.cfg.name]
         last = shard.orders.get(upstream.cfg.name)
         if last is not None and last.source >= source:
             return None
@@ -119,10 +127,10 @@
         return orders.DesiredRole(wanted, source, order_id)
 
     def handle(self, process, request, reply):
-        """Serves the requests of the conductor's programs."""
+        """Serves the effects that the executor's programs request."""
         match request:
             case orders.PollUpstream(upstream=name):
-                self.search.poll(name, reply)
+                self.scenario.poll(name, reply)
             case orders.HoldUpstream():
                 held = orders.DrainReport('all', 0, process.now(), 10.0)
                 reply(orders.HoldState(('all',), {'all': held}))
@@ -132,30 +140,32 @@
                 self._send(order, reply)
 
     def _send(self, order, reply):
-        world = self.search.world
-        if not self.authority.holds(self.process.now()):
+        sim = self.scenario.sim
+        if not self.lease.holds(self.process.now()):
             reply(None)
             return
-        if not self.authority.begin_send():
+        if not self.lease.begin_send():
             reply(None)
             return
-        if world.fault(0.05):
-            # Paused after the check and right before the send.
-            self.process.pause(_world.LONGEST_PAUSE_S * world.rng.random())
+        if sim.should_fail(0.05):
+            # Pauses between the check of the lease and the send.
+            self.process.pause(_simulation.MAX_PAUSE_S * sim.rng.random())
 
-        def ended(answer):
-            self.authority.end_send()
+        def on_reply(answer):
+            self.lease.end_send()
             reply(answer)
 
-        self.process.soon(0, self.search.send, order, self.process, ended)
+        self.process.call_later(
+            0, self.scenario.send, order, self.process, on_reply
+        )
 
 
-class _Search(_world.Scene):
-    """One seeded run over a shard and its upstreams."""
+class _OrderScenario(_simulation.Scenario):
+    """A run with one shard of two upstreams."""
 
     def __init__(self, seed):
         super().__init__(seed, FAULTS_UNTIL_S, LIST_LAG_S)
-        fenced = self.world.chance(0.5)
+        fenced = self.sim.chance(0.5)
         self.upstreams = [
             _Upstream(
                 settings.Upstream(
@@ -167,82 +177,86 @@
             )
             for number in range(2)
         ]
-        self.wanted = {r.cfg.name: ('mixed', 0) for r in self.upstreams}
+        self.desired_roles = {u.cfg.name: ('mixed', 0) for u in self.upstreams}
         self._revision = 0
 
     def run(self):
-        """Runs to the end, then checks that all orders came through."""
+        """Runs to the end and checks that all upstreams have their role."""
         for _number in range(INSTANCES):
             self.start_instance(_Instance)
-        self.world.after(1, self._disturb)
-        self.world.after(1, self._want)
-        self.world.run(RUN_S)
+        self.sim.call_later(1, self._inject_faults)
+        self.sim.call_later(1, self._change_desired_role)
+        self.sim.run(RUN_S)
         self._check_progress()
-        return self.world.faults
+        return self.sim.faults
 
-    def _disturb(self):
-        world = self.world
-        if world.now > FAULTS_UNTIL_S:
+    def _inject_faults(self):
+        sim = self.sim
+        if sim.now > FAULTS_UNTIL_S:
             self.store.down_until = 0.0
             return
-        world.after(12 * world.rng.random(), self._disturb)
-        instance = world.rng.choice(self.instances)
-        match world.rng.randrange(5):
+        sim.call_later(12 * sim.rng.random(), self._inject_faults)
+        instance = sim.rng.choice(self.instances)
+        match sim.rng.randrange(5):
             case 0:
-                seconds = _world.LONGEST_PAUSE_S * world.rng.random()
+                seconds = _simulation.MAX_PAUSE_S * sim.rng.random()
                 instance.process.pause(seconds)
-            case 1 if world.chance(0.4):
+            case 1 if sim.chance(0.4):
                 self.replace(instance, _Instance)
             case 2:
-                self.store.outage(20 * world.rng.random())
-            case 3 if world.chance(0.5):
-                instance.leaving = True
-                world.after(30, self.replace, instance, _Instance)
-
-    def _want(self):
-        world = self.world
-        if world.now > FAULTS_UNTIL_S:
+                self.store.outage(20 * sim.rng.random())
+            case 3 if sim.chance(0.5):
+                instance.stopping = True
+                sim.call_later(30, self.replace, instance, _Instance)
+
+    def _change_desired_role(self):
+        sim = self.sim
+        if sim.now > FAULTS_UNTIL_S:
             return
-        world.after(15 * world.rng.random(), self._want)
-        upstream = world.rng.choice(self.upstreams)
+        sim.call_later(15 * sim.rng.random(), self._change_desired_role)
+        upstream = sim.rng.choice(self.upstreams)
         self._revision += 1
-        role = world.rng.choice(['prefill', 'decode', 'mixed'])
-        self.wanted[upstream.cfg.name] = (role, self._revision)
+        role = sim.rng.choice(['prefill', 'decode', 'mixed'])
+        self.desired_roles[upstream.cfg.name] = (role, self._revision)
 
     def _upstream(self, name):
-        return next(r for r in self.upstreams if r.cfg.name == name)
+        return next(u for u in self.upstreams if u.cfg.name == name)
 
     def poll(self, name, reply):
-        """Carries a load request to an upstream and back."""
-        world = self.world
-        if world.chance(0.05):
-            world.after(0.5, reply, None)
+        """Delivers a status poll to an upstream, and its response."""
+        sim = self.sim
+        if sim.chance(0.05):
+            sim.call_later(0.5, reply, None)
             return
-        status = self._upstream(name).status(world.now)
-        world.after(_world.LATENCY_S, reply, status)
+        status = self._upstream(name).status(sim.now)
+        sim.call_later(_simulation.LATENCY_S, reply, status)
 
-    def send(self, order, process, ended):
-        """Carries an order to an upstream; it may arrive late."""
-        world = self.world
+    def send(self, order, process, on_reply):
+        """Delivers an order to an upstream, possibly late."""
+        sim = self.sim
         upstream = self._upstream(order.upstream)
-        if world.chance(0.85):
-            world.after(_world.LATENCY_S, self._arrive, upstream, order, ended)
+        if sim.chance(0.85):
+            sim.call_later(
+                _simulation.LATENCY_S, self._deliver, upstream, order, on_reply
+            )
             return
-        # No answer in time; the order may still arrive.
-        if world.chance(0.7):
-            world.faults.late_messages += 1
-            delay_s = CONNECTION_WORST_S * world.rng.random()
-            world.after(delay_s, upstream.take, order, world.now + delay_s)
-        world.after(2.0, ended, None)
+        # The sender times out, and the order may still arrive.
+        if sim.chance(0.7):
+            sim.faults.late_messages += 1
+            delay_s = MAX_DELIVERY_DELAY_S * sim.rng.random()
+            sim.call_later(
+                delay_s, upstream.apply_order, order, sim.now + delay_s
+            )
+        sim.call_later(2.0, on_reply, None)
 
-    def _arrive(self, upstream, order, ended):
-        taken = upstream.take(order, self.world.now)
-        self.world.after(_world.LATENCY_S, ended, taken)
+    def _deliver(self, upstream, order, on_reply):
+        applied = upstream.apply_order(order, self.sim.now)
+        self.sim.call_later(_simulation.LATENCY_S, on_reply, applied)
 
     def _check_progress(self):
-        shard = orders.Shard.load(self.store.look(orders.shard_key(SHARD)))
+        shard = orders.Shard.load(self.store.peek(orders.shard_key(SHARD)))
         for upstream in self.upstreams:
-            wanted, source = self.wanted[upstream.cfg.name]
+            wanted, source = self.desired_roles[upstream.cfg.name]
             order = shard.orders.get(upstream.cfg.name)
             if source == 0 or (
                 order is not None
@@ -250,20 +264,21 @@
                 and upstream.role == wanted
             ):
                 continue
-            raise _world.Broken(
-                f'{self.world.now:.2f} s: upstream "{upstream.cfg.name}" has '
-                f'role "{upstream.role}" although "{wanted}" was ordered and '
-                'all faults ended long ago'
+            raise _simulation.InvariantViolated(
+                f'{self.sim.now:.2f} s: upstream "{upstream.cfg.name}" still '
+                f'has role "{upstream.role}" instead of "{wanted}" after all '
+                'faults ended'
             )
 
 
 def search_orders(seed):
-    """Runs one seed.
+    """Runs one seed and checks that orders neither overlap nor go stale.
 
     Returns:
         The Faults that were injected.
 
     Raises:
-        Broken: If a promise was broken.
+        InvariantViolated: If an upstream received an overlapping or a
+            stale order, or did not get its role in the end.
     """
-    return _Search(seed).run()
+    return _OrderScenario(seed).run()
