--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -37,7 +37,7 @@
         self.body = body
 
 
-class UpstreamBroke(Exception):
+class IncompleteResponse(Exception):
     """The connection ended or fell silent before the answer's end."""
 
 
@@ -137,7 +137,7 @@
                 yield item
                 _set_timeout(reply, call.silence_s)
         except (exceptions.HTTPError, OSError, ValueError) as exc:
-            raise UpstreamBroke(str(exc)) from exc
+            raise IncompleteResponse(str(exc)) from exc
         finally:
             reply.close()
 
@@ -148,7 +148,7 @@
         try:
             return json.loads(reply.read())
         except (exceptions.HTTPError, OSError, ValueError) as exc:
-            raise UpstreamBroke(str(exc)) from exc
+            raise IncompleteResponse(str(exc)) from exc
         finally:
             reply.close()
 
@@ -194,7 +194,7 @@
             raise UpstreamUnreachable(str(exc)) from exc
         except exceptions.HTTPError as exc:
             self._conns.forget(address)
-            raise UpstreamBroke(str(exc)) from exc
+            raise IncompleteResponse(str(exc)) from exc
         if reply.status != 200:
             text = _read_refusal(reply)
             raise UpstreamRefused(reply.status, text)
@@ -296,7 +296,7 @@
         elif name == 'data':
             choices = json.loads(value).get('choices', [])
             yield Piece(offset, _text_of(choices), choices)
-    raise UpstreamBroke('the stream has no end mark')
+    raise IncompleteResponse('the stream has no end mark')
 
 
 def _lines(reply):
--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -161,7 +161,7 @@
             self._handle_refusal(exc)
         except upstream_adapter.UpstreamUnreachable as exc:
             self._fail_over(str(exc))
-        except (upstream_adapter.UpstreamBroke, jobs.StreamGap) as exc:
+        except (upstream_adapter.IncompleteResponse, jobs.StreamGap) as exc:
             self._handle_broken_stream(str(exc))
 
     def _start_attempt(self):
@@ -216,7 +216,7 @@
         except upstream_adapter.UpstreamRefused as exc:
             self._report_failure(placement.prefill_upstream, str(exc))
             raise upstream_adapter.UpstreamUnreachable(str(exc)) from exc
-        except upstream_adapter.UpstreamBroke as exc:
+        except upstream_adapter.IncompleteResponse as exc:
             self._report_failure(placement.prefill_upstream, str(exc))
             raise upstream_adapter.UpstreamUnreachable(str(exc)) from exc
 
@@ -342,7 +342,7 @@
                 self._handle_refusal(exc)
             except (
                 upstream_adapter.UpstreamUnreachable,
-                upstream_adapter.UpstreamBroke,
+                upstream_adapter.IncompleteResponse,
             ) as exc:
                 self._fail_over(str(exc))
 
