--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class Piece:
+class Chunk:
     """Part of an answer.
 
     Attributes:
@@ -295,7 +295,7 @@
             return
         elif name == 'data':
             choices = json.loads(value).get('choices', [])
-            yield Piece(offset, _text_of(choices), choices)
+            yield Chunk(offset, _text_of(choices), choices)
     raise IncompleteResponse('the stream has no end mark')
 
 
--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -224,7 +224,7 @@
         match item:
             case upstream_adapter.End():
                 self._assembly.end(attempt)
-            case upstream_adapter.Piece(offset=offset, text=text):
+            case upstream_adapter.Chunk(offset=offset, text=text):
                 if not self._assembly.accept(attempt, offset, text):
                     return
                 self._answer_chars += len(text)
