--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -98,7 +98,7 @@
     path: str
     body: dict
     resume_after: int
-    silence_s: float
+    chunk_timeout_s: float
     first_s: float
 
 
@@ -135,7 +135,7 @@
         try:
             for item in _pieces(reply):
                 yield item
-                _set_timeout(reply, call.silence_s)
+                _set_timeout(reply, call.chunk_timeout_s)
         except (exceptions.HTTPError, OSError, ValueError) as exc:
             raise IncompleteResponse(str(exc)) from exc
         finally:
--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -183,7 +183,7 @@
             self.job, self._partial_text(), self._assembly.tokens
         )
         placement = self._target.placement
-        silence_s = max(
+        chunk_timeout_s = max(
             self._cfg.least_silence_s,
             self._cfg.silence_factor * placement.token_gap_s,
         )
@@ -192,7 +192,7 @@
             path=self.job.path,
             body=body,
             resume_after=self._assembly.resume_after(),
-            silence_s=silence_s,
+            chunk_timeout_s=chunk_timeout_s,
             first_s=min(
                 placement.first_token_s + FIRST_TOKEN_MARGIN_S, self._left_s()
             ),
