--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -91,7 +91,7 @@
         body: The request as the engine understands it.
         resume_after: Offset of the last piece seen, or -1.
         silence_s: Longest wait for the next piece.
-        first_s: Longest wait for the first piece.
+        first_chunk_timeout_s: Longest wait for the first piece.
     """
 
     job_id: str
@@ -99,7 +99,7 @@
     body: dict
     resume_after: int
     chunk_timeout_s: float
-    first_s: float
+    first_chunk_timeout_s: float
 
 
 @attrs.frozen
@@ -178,7 +178,8 @@
         if call.resume_after >= 0:
             headers['Last-Event-ID'] = str(call.resume_after)
         timeout = urllib3.Timeout(
-            connect=self._connect_s, read=call.first_s + _PREFILL_MARGIN_S
+            connect=self._connect_s,
+            read=call.first_chunk_timeout_s + _PREFILL_MARGIN_S,
         )
         try:
             reply = self._conns.to(address).request(
--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -193,7 +193,7 @@
             body=body,
             resume_after=self._assembly.resume_after(),
             chunk_timeout_s=chunk_timeout_s,
-            first_s=min(
+            first_chunk_timeout_s=min(
                 placement.first_token_s + FIRST_TOKEN_MARGIN_S, self._left_s()
             ),
         )
@@ -327,7 +327,7 @@
             self._start_attempt()
             try:
                 call = self._build_call()
-                call = attrs.evolve(call, first_s=self._left_s())
+                call = attrs.evolve(call, first_chunk_timeout_s=self._left_s())
                 self._sent = True
                 body = self._core.upstreams.whole(
                     self._target.placement.address, call
