--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -103,10 +103,10 @@
 
 
 @attrs.frozen
-class OrderAnswer:
+class OrderReply:
     """What an upstream said to an order."""
 
-    taken: bool
+    accepted: bool
     fenced: bool
 
 
@@ -229,7 +229,7 @@
         answer = self._ask(address, 'POST', '/role', body, _ORDER_TIMEOUT_S)
         if answer is None or answer.status not in (202, 409):
             return None
-        return OrderAnswer(answer.status == 202, answer.status == 409)
+        return OrderReply(answer.status == 202, answer.status == 409)
 
     def _ask(self, address, method, path, body, timeout_s):
         try:
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -215,7 +215,7 @@
             answer = await core.call(send)
         finally:
             authority.end_send()
-        return None if answer is None else answer.taken
+        return None if answer is None else answer.accepted
 
     async def _release_hold(self, upstream_name, order_id):
         request = peer_pb2.HoldRequest(
