--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -141,7 +141,7 @@
         finally:
             reply.close()
 
-    def whole(self, address, call):
+    def fetch(self, address, call):
         """Fetches an answer in one piece and returns it parsed."""
         body = {**call.body, 'stream': False}
         reply = self._open(address, call, body)
@@ -163,7 +163,7 @@
             'max_tokens': 1,
             'kv_transfer_params': {'do_remote_decode': True},
         }
-        answer = self.whole(address, attrs.evolve(call, body=body))
+        answer = self.fetch(address, attrs.evolve(call, body=body))
         return {
             **answer.get('kv_transfer_params', {}),
             'do_remote_prefill': True,
--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -309,7 +309,7 @@
             target.placement.address, f'{self._job_id}-{target.generation}'
         )
 
-    def whole(self, request_id):
+    def fetch(self, request_id):
         """Returns the whole answer as a JSON body in bytes."""
         if not self.job.continuable:
             return self._fetch_whole()
@@ -329,7 +329,7 @@
                 call = self._build_call()
                 call = attrs.evolve(call, first_chunk_timeout_s=self._left_s())
                 self._sent = True
-                body = self._core.upstreams.whole(
+                body = self._core.upstreams.fetch(
                     self._target.placement.address, call
                 )
                 usage = body.get('usage') or {}
