--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -206,7 +206,7 @@
         body = {'request_id': job_id}
         self._ask(address, 'POST', '/v1/cancel', body, _CANCEL_TIMEOUT_S)
 
-    def load(self, address):
+    def fetch_load(self, address):
         """Returns an upstream's Load, or None if it does not answer."""
         answer = self._ask(address, 'GET', '/load', None, _LOAD_TIMEOUT_S)
         if answer is None or answer.status != 200:
@@ -216,7 +216,7 @@
         except (ValueError, TypeError, AttributeError):
             return None
 
-    def order(self, address, order):
+    def send_order(self, address, order):
         """Sends an order and returns an OrderAnswer or None.
 
         None means that no answer came: it may have been taken.
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_loads.py
@@ -80,7 +80,7 @@
         """
         core = self._core
         asked_at = core.now()
-        load = await core.call(core.upstreams.load, upstream.address)
+        load = await core.call(core.upstreams.fetch_load, upstream.address)
         message = peer_pb2.UpstreamLoad(upstream=upstream.name)
         if load is None:
             message.failed = True
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -207,7 +207,7 @@
             # The lease is checked last, right before the send.
             if time.monotonic() >= authority.expires_at:
                 return None
-            return core.upstreams.order(upstream.address, order)
+            return core.upstreams.send_order(upstream.address, order)
 
         if not authority.begin_send():
             return None
