--- a/dandelionwinch/adapters/service.py
+++ b/dandelionwinch/adapters/service.py
@@ -103,7 +103,7 @@
         content_type = reply.headers.get('Content-Type', '')
         return Answered(reply.status, reply.data, content_type)
 
-    def outcome(self, address, key):
+    def fetch_outcome(self, address, key):
         """Asks what became of a key: Ran, NeverSeen or CannotSay."""
         try:
             reply = self._conns.to(address).request(
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -223,7 +223,7 @@
             for upstream in core.catalog.upstreams_of(pool.name)
         ]
         answers = [
-            await core.call(core.services.outcome, upstream.address, key)
+            await core.call(core.services.fetch_outcome, upstream.address, key)
             for upstream in upstreams
         ]
         for answer in answers:
--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -250,7 +250,7 @@
     def _query_outcome(self):
         if not self._service.asks_by_key:
             return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
-        reply = self._core.services.outcome(
+        reply = self._core.services.fetch_outcome(
             self._upstream.address, self._call.key
         )
         if not isinstance(reply, service_adapter.Ran):
