--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -68,7 +68,7 @@
     Attributes:
         boot: Changes when the upstream was restarted.
         order_id: Identifier of the last order that it took.
-        away: Whether it is carrying out an order.
+        applying_order: Whether it is carrying out an order.
     """
 
     running: int
@@ -78,7 +78,7 @@
     role: str
     epoch: int
     order_id: str
-    away: bool
+    applying_order: bool
     boot: int
 
 
@@ -272,7 +272,7 @@
         role=str(body.get('role', '')),
         epoch=_count(body.get('epoch', 0)),
         order_id=str(body.get('order_id', '')),
-        away=bool(body.get('away', False)),
+        applying_order=bool(body.get('away', False)),
         boot=_count(body.get('boot', 0)),
     )
 
--- a/dandelionwinch/daemon/_loads.py
+++ b/dandelionwinch/daemon/_loads.py
@@ -90,7 +90,7 @@
             message.waiting_tokens = load.waiting_tokens
             message.kv_tokens = load.kv_tokens
             message.role = load.role
-            message.away = load.away
+            message.away = load.applying_order
             message.order_id = load.order_id
             message.epoch = load.epoch
         self._take(message, asked_at)
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -297,4 +297,6 @@
     if load is None:
         return None
     jobs = load.running + load.waiting
-    return orders.UpstreamStatus(load.order_id, load.away, jobs, load.epoch)
+    return orders.UpstreamStatus(
+        load.order_id, load.applying_order, jobs, load.epoch
+    )
