--- a/dandelionwinch/adapters/connections.py
+++ b/dandelionwinch/adapters/connection_pools.py
@@ -25,7 +25,7 @@
 ]
 
 
-class Connections:
+class ConnectionPools:
     """Pools of kept connections, renewed as a whole after a time.
 
     A middlebox may forget an idle connection without a word. Idle
@@ -41,7 +41,7 @@
         self._pools = {}
         self._used_at = {}
 
-    def to(self, address):
+    def pool_for(self, address):
         """Returns the pool of connections to an address.
 
         Args:
@@ -71,7 +71,7 @@
             socket_options=SOCKET_OPTIONS,
         )
 
-    def forget(self, address):
+    def discard(self, address):
         """Drops kept connections to an address that misbehaved."""
         with self._lock:
             pool = self._pools.pop(address, None)
--- a/dandelionwinch/adapters/endpointslices.py
+++ b/dandelionwinch/adapters/endpointslices.py
@@ -3,7 +3,7 @@
 import attrs
 from urllib3 import exceptions
 
-from dandelionwinch.adapters import connections
+from dandelionwinch.adapters import connection_pools
 
 _PATH = '/apis/discovery.k8s.io/v1/namespaces/{}/endpointslices'
 _CLIENT_PORT = 'client'
@@ -32,11 +32,11 @@
 class EndpointSliceList:
     """Reads the list; an instance that is gone has no line."""
 
-    __slots__ = ('_cfg', '_conns', 'calls')
+    __slots__ = ('_cfg', '_pools', 'calls')
 
     def __init__(self, cfg, idle_s):
         self._cfg = cfg
-        self._conns = connections.Connections(idle_s)
+        self._pools = connection_pools.ConnectionPools(idle_s)
         self.calls = 0
 
     def fetch(self):
@@ -48,7 +48,7 @@
         self.calls += 1
         path = _PATH.format(self._cfg.namespace)
         try:
-            reply = self._conns.to(self._cfg.address).request(
+            reply = self._pools.pool_for(self._cfg.address).request(
                 'GET', path, timeout=self._cfg.timeout_s
             )
             if reply.status != 200:
@@ -56,12 +56,12 @@
             slices = reply.json()['items']
             return tuple(_read(part) for part in slices)
         except (exceptions.HTTPError, ValueError, LookupError, TypeError):
-            self._conns.forget(self._cfg.address)
+            self._pools.discard(self._cfg.address)
             return None
 
     def close(self):
         """Closes all connections."""
-        self._conns.close()
+        self._pools.close()
 
 
 def _read(part):
--- a/dandelionwinch/adapters/etcd.py
+++ b/dandelionwinch/adapters/etcd.py
@@ -5,7 +5,7 @@
 
 from urllib3 import exceptions
 
-from dandelionwinch.adapters import connections
+from dandelionwinch.adapters import connection_pools
 from dandelionwinch import effects
 
 _NEVER_SENT = (
@@ -38,11 +38,11 @@
     freshness has to be confirmed by reads in any case.
     """
 
-    __slots__ = ('_cfg', '_conns', 'calls')
+    __slots__ = ('_cfg', '_pools', 'calls')
 
     def __init__(self, cfg, idle_s):
         self._cfg = cfg
-        self._conns = connections.Connections(idle_s)
+        self._pools = connection_pools.ConnectionPools(idle_s)
         self.calls = 0
 
     def execute(self, request):
@@ -142,13 +142,13 @@
             try:
                 return self._send_to(endpoint, path, body)
             except _NEVER_SENT as exc:
-                self._conns.forget(endpoint)
+                self._pools.discard(endpoint)
                 last = exc
         raise last
 
     def _send_to(self, endpoint, path, body):
         try:
-            reply = self._conns.to(endpoint).request(
+            reply = self._pools.pool_for(endpoint).request(
                 'POST',
                 path,
                 body=json.dumps(body),
@@ -156,7 +156,7 @@
                 timeout=self._cfg.timeout_s,
             )
         except exceptions.HTTPError:
-            self._conns.forget(endpoint)
+            self._pools.discard(endpoint)
             raise
         if reply.status != 200:
             raise exceptions.HTTPError(
@@ -166,4 +166,4 @@
 
     def close(self):
         """Closes all connections."""
-        self._conns.close()
+        self._pools.close()
--- a/dandelionwinch/adapters/service.py
+++ b/dandelionwinch/adapters/service.py
@@ -6,7 +6,7 @@
 import urllib3
 from urllib3 import exceptions
 
-from dandelionwinch.adapters import connections
+from dandelionwinch.adapters import connection_pools
 
 _OUTCOME_TIMEOUT_S = 2.0
 _NEVER_SENT = (
@@ -66,11 +66,11 @@
 class ServiceAdapter:
     """Speaks to plain services; every failure is a reply."""
 
-    __slots__ = ('_conns', '_connect_s')
+    __slots__ = ('_pools', '_connect_s')
 
     def __init__(self, connect_s, idle_s):
         self._connect_s = connect_s
-        self._conns = connections.Connections(idle_s)
+        self._pools = connection_pools.ConnectionPools(idle_s)
 
     def call(self, address, call, timeout_s):
         """Sends a call once.
@@ -86,7 +86,7 @@
             headers['Idempotency-Key'] = call.key
         timeout = urllib3.Timeout(connect=self._connect_s, read=timeout_s)
         try:
-            reply = self._conns.to(address).request(
+            reply = self._pools.pool_for(address).request(
                 call.method,
                 call.path,
                 body=call.body,
@@ -95,10 +95,10 @@
                 redirect=False,
             )
         except _NEVER_SENT:
-            self._conns.forget(address)
+            self._pools.discard(address)
             return NotSent()
         except exceptions.HTTPError:
-            self._conns.forget(address)
+            self._pools.discard(address)
             return NoAnswer()
         content_type = reply.headers.get('Content-Type', '')
         return Answered(reply.status, reply.data, content_type)
@@ -106,19 +106,19 @@
     def fetch_outcome(self, address, key):
         """Asks what became of a key: Ran, NeverSeen or CannotSay."""
         try:
-            reply = self._conns.to(address).request(
+            reply = self._pools.pool_for(address).request(
                 'GET', f'/outcomes/{key}', timeout=_OUTCOME_TIMEOUT_S
             )
             if reply.status != 200:
                 return CannotSay()
             return _outcome_of(reply.json())
         except (exceptions.HTTPError, ValueError, AttributeError):
-            self._conns.forget(address)
+            self._pools.discard(address)
             return CannotSay()
 
     def close(self):
         """Closes all idle connections."""
-        self._conns.close()
+        self._pools.close()
 
 
 def _outcome_of(body):
--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -6,7 +6,7 @@
 import urllib3
 from urllib3 import exceptions
 
-from dandelionwinch.adapters import connections
+from dandelionwinch.adapters import connection_pools
 
 _LOAD_TIMEOUT_S = 0.5
 _ORDER_TIMEOUT_S = 2.0
@@ -113,11 +113,11 @@
 class UpstreamAdapter:
     """Speaks to model engines."""
 
-    __slots__ = ('_conns', '_connect_s')
+    __slots__ = ('_pools', '_connect_s')
 
     def __init__(self, connect_s, idle_s):
         self._connect_s = connect_s
-        self._conns = connections.Connections(idle_s)
+        self._pools = connection_pools.ConnectionPools(idle_s)
 
     def stream(self, address, call):
         """Opens an answer as a stream.
@@ -182,7 +182,7 @@
             read=call.first_chunk_timeout_s + _PREFILL_MARGIN_S,
         )
         try:
-            reply = self._conns.to(address).request(
+            reply = self._pools.pool_for(address).request(
                 'POST',
                 call.path,
                 body=json.dumps(body),
@@ -191,10 +191,10 @@
                 preload_content=False,
             )
         except _NEVER_SENT as exc:
-            self._conns.forget(address)
+            self._pools.discard(address)
             raise UpstreamUnreachable(str(exc)) from exc
         except exceptions.HTTPError as exc:
-            self._conns.forget(address)
+            self._pools.discard(address)
             raise IncompleteResponse(str(exc)) from exc
         if reply.status != 200:
             text = _read_refusal(reply)
@@ -233,19 +233,19 @@
 
     def _ask(self, address, method, path, body, timeout_s):
         try:
-            return self._conns.to(address).request(
+            return self._pools.pool_for(address).request(
                 method,
                 path,
                 body=None if body is None else json.dumps(body),
                 timeout=timeout_s,
             )
         except exceptions.HTTPError:
-            self._conns.forget(address)
+            self._pools.discard(address)
             return None
 
     def close(self):
         """Closes all idle connections."""
-        self._conns.close()
+        self._pools.close()
 
 
 def _set_timeout(reply, seconds):
