--- a/dandelionwinch/standins/upstream.py
+++ b/dandelionwinch/standins/upstream.py
@@ -20,11 +20,11 @@
         silent_streams: Streams that are yet to fall silent for good.
     """
 
-    __slots__ = ('_closing', 'engine', 'silent_streams')
+    __slots__ = ('_closing', 'engine', 'streams_to_stall')
 
     def __init__(self, cfg, model, listen='127.0.0.1:0', role_change_s=2.0):
         self.engine = engine.Engine(cfg, model, role_change_s)
-        self.silent_streams = 0
+        self.streams_to_stall = 0
         self._closing = threading.Event()
         super().__init__(listen)
 
@@ -105,9 +105,9 @@
             raise web.HungUp
 
     def _stream(self, made, job):
-        silent = self.silent_streams > 0
+        silent = self.streams_to_stall > 0
         if silent:
-            self.silent_streams -= 1
+            self.streams_to_stall -= 1
         for index in range(made.first + job.resumes, made.tokens):
             self._wait_until(made, made.at(index))
             offset = index - made.first
