--- a/dandelionwinch/standins/engine.py
+++ b/dandelionwinch/standins/engine.py
@@ -72,7 +72,7 @@
         'boot',
         'cfg',
         'crashed_answers',
-        'cut',
+        'interrupted_answers',
         'epoch',
         'model',
         'order',
@@ -95,7 +95,7 @@
         self.epoch = 0
         self.order = None
         self.away_until = 0.0
-        self.cut = 0
+        self.interrupted_answers = 0
         self.overlaps = 0
         self.stale = 0
         self.role_changes = 0
@@ -225,7 +225,7 @@
                 self.overlaps += 1
             self.order = (order_id, role)
             if role != self.role:
-                self.cut += running
+                self.interrupted_answers += running
                 self.role = role
                 self.role_changes += 1
                 self.away_until = now + self.role_change_s
--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -199,7 +199,9 @@
     summary.answered_whole = _count(outcomes, 'whole')
     summary.refused_truthfully = _count(outcomes, 'refused')
     summary.unknown = _count(outcomes, 'unknown')
-    summary.cut = _count(outcomes, 'wrong') + sum(e.cut for e in engines)
+    summary.cut = _count(outcomes, 'wrong') + sum(
+        e.interrupted_answers for e in engines
+    )
     summary.doubled = len(fleet.journal.doubled())
     summary.falsely_refused = len(told_not_run & (run_requests | begun))
     summary.refused_truthfully -= min(
