--- a/dandelionwinch/standins/engine.py
+++ b/dandelionwinch/standins/engine.py
@@ -76,7 +76,7 @@
         'epoch',
         'model',
         'order',
-        'overlaps',
+        'overlapping_orders',
         'prefilled_tokens',
         'role',
         'role_change_s',
@@ -96,7 +96,7 @@
         self.order = None
         self.away_until = 0.0
         self.interrupted_answers = 0
-        self.overlaps = 0
+        self.overlapping_orders = 0
         self.stale = 0
         self.role_changes = 0
         self.crashed_answers = 0
@@ -222,7 +222,7 @@
             if self.order is not None and self.order[0] == order_id:
                 return True
             if now < self.away_until:
-                self.overlaps += 1
+                self.overlapping_orders += 1
             self.order = (order_id, role)
             if role != self.role:
                 self.interrupted_answers += running
