--- a/dandelionwinch/standins/engine.py
+++ b/dandelionwinch/standins/engine.py
@@ -81,7 +81,7 @@
         'role',
         'role_change_s',
         'role_changes',
-        'stale',
+        'stale_orders',
         'started',
     )
 
@@ -97,7 +97,7 @@
         self.away_until = 0.0
         self.interrupted_answers = 0
         self.overlapping_orders = 0
-        self.stale = 0
+        self.stale_orders = 0
         self.role_changes = 0
         self.crashed_answers = 0
         self.started = set()
@@ -217,7 +217,7 @@
             if epoch < self.epoch:
                 if self.cfg.checks_fencing:
                     return False
-                self.stale += 1
+                self.stale_orders += 1
             self.epoch = max(epoch, self.epoch)
             if self.order is not None and self.order[0] == order_id:
                 return True
--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -213,7 +213,7 @@
         if o.kind == 'charge' and o.state == 'whole' and o.key not in run_keys
     )
     summary.overlapping_orders = sum(e.overlapping_orders for e in engines)
-    summary.stale_orders = sum(e.stale for e in engines)
+    summary.stale_orders = sum(e.stale_orders for e in engines)
     summary.lost_connections = sum(o.lost for o in outcomes)
     tokens = sum(o.tokens for o in outcomes if o.state == 'whole')
     summary.goodput_tokens_per_s = round(tokens / seconds, 1)
