--- a/dandelionwinch/standins/engine.py
+++ b/dandelionwinch/standins/engine.py
@@ -82,7 +82,7 @@
         'role_change_s',
         'role_changes',
         'stale_orders',
-        'started',
+        'started_jobs',
     )
 
     def __init__(self, cfg, model, role_change_s=2.0):
@@ -100,7 +100,7 @@
         self.stale_orders = 0
         self.role_changes = 0
         self.crashed_answers = 0
-        self.started = set()
+        self.started_jobs = set()
         self.prefilled_tokens = 0
         self._prefill_free_at = 0.0
         self._generations = {}
@@ -145,7 +145,7 @@
                 job, prompt, tokens, first, start + cost_s, gap_s
             )
             self._generations[job] = made
-            self.started.add(job)
+            self.started_jobs.add(job)
             return made
 
     @staticmethod
--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -193,7 +193,7 @@
     executions = fleet.journal.executions
     run_keys = {item.key for item in executions if item.key}
     run_requests = {item.request_id for item in executions}
-    begun = {job.rpartition('-')[0] for e in engines for job in e.started}
+    begun = {job.rpartition('-')[0] for e in engines for job in e.started_jobs}
     told_not_run = {i for o in outcomes for i in o.not_run}
     summary = Summary(house, jobs=len(outcomes))
     summary.answered_whole = _count(outcomes, 'whole')
