--- a/dandelionwinch/standins/engine.py
+++ b/dandelionwinch/standins/engine.py
@@ -206,7 +206,7 @@
         with self._lock:
             return self._generations.get(generation.job) is generation
 
-    def take_order(self, order_id, epoch, role, now):
+    def apply_order(self, order_id, epoch, role, now):
         """Takes an order to change the role.
 
         Returns:
--- a/dandelionwinch/standins/upstream.py
+++ b/dandelionwinch/standins/upstream.py
@@ -66,7 +66,7 @@
         }
 
     def _order(self, body):
-        taken = self.engine.take_order(
+        taken = self.engine.apply_order(
             body['order_id'], body['epoch'], body['role'], time.monotonic()
         )
         if not taken:
