--- a/dandelionwinch/standins/upstream.py
+++ b/dandelionwinch/standins/upstream.py
@@ -61,7 +61,7 @@
             'role': self.engine.role,
             'epoch': self.engine.epoch,
             'order_id': order_id,
-            'away': now < self.engine.away_until,
+            'away': now < self.engine.role_change_until,
             'boot': self.engine.boot,
         }
 
