--- a/dandelionwinch/standins/service.py
+++ b/dandelionwinch/standins/service.py
@@ -42,7 +42,7 @@
         with self._lock:
             return self._answers.get(key)
 
-    def doubled(self):
+    def duplicate_keys(self):
         """Returns the keys that were carried out more than once."""
         with self._lock:
             keys = [item.key for item in self.executions if item.key]
--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -202,7 +202,7 @@
     summary.cut = _count(outcomes, 'wrong') + sum(
         e.interrupted_answers for e in engines
     )
-    summary.doubled = len(fleet.journal.doubled())
+    summary.doubled = len(fleet.journal.duplicate_keys())
     summary.falsely_refused = len(told_not_run & (run_requests | begun))
     summary.refused_truthfully -= min(
         summary.refused_truthfully, summary.falsely_refused
