--- a/dandelionwinch/standins/kvitems.py
+++ b/dandelionwinch/standins/kvitems.py
@@ -85,7 +85,7 @@
             if change.revision > after and change.key.startswith(prefix)
         ]
 
-    def drop_history(self):
+    def compact(self):
         """Forgets all changes up to now."""
         self._history.clear()
         self._dropped = self.revision
--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -45,9 +45,9 @@
         """Lets all leases lapse."""
         self._change(self.items.end_all)
 
-    def drop_history(self):
+    def compact(self):
         """Forgets all changes up to now."""
-        self._change(self.items.drop_history)
+        self._change(self.items.compact)
 
     def value(self, key):
         """Returns the bytes of a key, or None."""
