--- a/dandelionwinch/standins/kvitems.py
+++ b/dandelionwinch/standins/kvitems.py
@@ -97,7 +97,7 @@
         self._leases[lease] = (now + ttl_s, ttl_s)
         return lease
 
-    def keep(self, lease, now):
+    def renew(self, lease, now):
         """Renews a lease; tells whether it was there."""
         if lease not in self._leases:
             return False
@@ -105,7 +105,7 @@
         self._leases[lease] = (now + ttl_s, ttl_s)
         return True
 
-    def end(self, lease):
+    def revoke(self, lease):
         """Ends a lease and removes its keys."""
         self._leases.pop(lease, None)
         held = [k for k, item in self._items.items() if item.lease == lease]
@@ -116,12 +116,12 @@
         """Ends leases that were not renewed in time."""
         for lease, (until, _ttl_s) in list(self._leases.items()):
             if until < now:
-                self.end(lease)
+                self.revoke(lease)
 
-    def end_all(self):
+    def revoke_all(self):
         """Lets all leases lapse."""
         for lease in list(self._leases):
-            self.end(lease)
+            self.revoke(lease)
 
     def transact(self, conditions, puts, removed):
         """Makes all changes or none.
--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -41,9 +41,9 @@
         """Removes a key."""
         self._change(self.items.remove, key)
 
-    def end_leases(self):
+    def revoke_leases(self):
         """Lets all leases lapse."""
-        self._change(self.items.end_all)
+        self._change(self.items.revoke_all)
 
     def compact(self):
         """Forgets all changes up to now."""
@@ -136,10 +136,10 @@
                 lease = self.items.grant(ttl_ms / 1e3, now)
                 return web.Reply(200, {'lease': lease, 'ttlMs': ttl_ms})
             case 'kv-keep':
-                known = self.items.keep(int(argument), now)
+                known = self.items.renew(int(argument), now)
                 return web.Reply(200 if known else 404, {'ttlMs': 1000})
             case 'kv-lease-end':
-                self.items.end(int(argument))
+                self.items.revoke(int(argument))
                 return web.Reply(200, {})
         return web.Reply(400, {})
 
