--- a/dandelionwinch/standins/kvitems.py
+++ b/dandelionwinch/standins/kvitems.py
@@ -8,7 +8,7 @@
 FIRST_LEASE = 101
 
 
-class Refused(enum.Enum):
+class Rejection(enum.Enum):
     """Why a change was not made."""
 
     CONDITION = 'condition'
@@ -123,7 +123,7 @@
         for lease in list(self._leases):
             self.revoke(lease)
 
-    def transact(self, conditions, puts, removed):
+    def commit(self, conditions, puts, removed):
         """Makes all changes or none.
 
         Args:
@@ -137,9 +137,9 @@
         for key, revision in conditions:
             item = self._items.get(key)
             if (item.revision if item else 0) != revision:
-                return Refused.CONDITION
+                return Rejection.CONDITION
         if any(lease and lease not in self._leases for _k, _v, lease in puts):
-            return Refused.LEASE
+            return Rejection.LEASE
         for key, value, lease in puts:
             self.put(key, value, lease)
         for key in removed:
--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -147,7 +147,7 @@
         rows, puts = body['precondition'], body['puts']
         if len(rows) + len(puts) + len(body['remove']) > MAX_ENTRIES:
             return web.Reply(400, {})
-        result = self.items.transact(
+        result = self.items.commit(
             [(row['key'], row['revision']) for row in rows],
             [
                 (row['key'], base64.b64decode(row['value']), row['lease'])
@@ -156,11 +156,11 @@
             body['remove'],
         )
         match result:
-            case kvitems.Refused.CONDITION:
+            case kvitems.Rejection.CONDITION:
                 found = [self.items.get(row['key']) for row in rows]
                 rows = [_row(item) for item in found if item]
                 return web.Reply(412, {'items': rows})
-            case kvitems.Refused.LEASE:
+            case kvitems.Rejection.LEASE:
                 return web.Reply(404, {})
         return web.Reply(200, {'revision': result})
 
