--- a/dandelionwinch/soak/_run.py
+++ b/dandelionwinch/soak/_run.py
@@ -81,7 +81,7 @@
         self._callers = callers
         self._folder = pathlib.Path(folder)
         threads = MORE_THREADS + THREADS_PER_INSTANCE * instances
-        self._store = kvstore.KvStore(lapse=True, threads=threads)
+        self._store = kvstore.KvStore(expire_leases=True, threads=threads)
         self._record = _upstream.Record()
         self._seen = _caller.Seen()
         self._faults = {}
--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -22,14 +22,16 @@
         changed: Called after each call and each change, from any thread.
     """
 
-    def __init__(self, page=500, lapse=False, threads=web.STAND_IN_THREADS):
+    def __init__(
+        self, page=500, expire_leases=False, threads=web.STAND_IN_THREADS
+    ):
         super().__init__(threads=threads)
         self._condition = threading.Condition()
         self.items = kvitems.KvItems()
         self.refuse = 0
         self.lose = 0
         self.page = page
-        self.lapse = lapse
+        self.expire_leases = expire_leases
         self.calls = []
         self.changed = lambda: None
 
@@ -74,7 +76,7 @@
         self.changed()
         if self.refuse:
             return web.Reply(self.refuse, {})
-        if self.lapse:
+        if self.expire_leases:
             self._change(self.items.expire, time.monotonic())
         match call:
             case 'kv-key':
