--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -16,7 +16,7 @@
 
     Attributes:
         refuse: Status of all answers while set, 0 for none.
-        lose: Changes of keys that are done and not answered.
+        replies_to_drop: Changes of keys that are done and not answered.
         page: Items on one page of a listing.
         lapse: Whether leases end by themselves when they are not renewed.
         changed: Called after each call and each change, from any thread.
@@ -29,7 +29,7 @@
         self._condition = threading.Condition()
         self.items = kvitems.KvItems()
         self.refuse = 0
-        self.lose = 0
+        self.replies_to_drop = 0
         self.page = page
         self.expire_leases = expire_leases
         self.calls = []
@@ -87,8 +87,8 @@
                 return self._watch(query)
             case 'kv-txn':
                 reply = self._change(self._transact, req.json())
-                if self.lose:
-                    self.lose -= 1
+                if self.replies_to_drop:
+                    self.replies_to_drop -= 1
                     raise web.HungUp
                 return reply
         return self._change(self._lease_call, call, argument, req)
