--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -17,20 +17,20 @@
     Attributes:
         error_status: Status of all answers while set, 0 for none.
         replies_to_drop: Changes of keys that are done and not answered.
-        page: Items on one page of a listing.
+        page_size: Items on one page of a listing.
         lapse: Whether leases end by themselves when they are not renewed.
         changed: Called after each call and each change, from any thread.
     """
 
     def __init__(
-        self, page=500, expire_leases=False, threads=web.STAND_IN_THREADS
+        self, page_size=500, expire_leases=False, threads=web.STAND_IN_THREADS
     ):
         super().__init__(threads=threads)
         self._condition = threading.Condition()
         self.items = kvitems.KvItems()
         self.error_status = 0
         self.replies_to_drop = 0
-        self.page = page
+        self.page_size = page_size
         self.expire_leases = expire_leases
         self.calls = []
         self.changed = lambda: None
@@ -102,7 +102,7 @@
 
     def _range(self, query):
         found, more = self.items.page(
-            query.get('prefix', ''), query.get('after', ''), self.page
+            query.get('prefix', ''), query.get('after', ''), self.page_size
         )
         body = {
             'items': [_row(item) for item in found],
