--- a/dandelionwinch/soak/_run.py
+++ b/dandelionwinch/soak/_run.py
@@ -131,14 +131,14 @@
     async def _await_started(self):
         """Waits until all instances have an entry in the store."""
         loop = asyncio.get_running_loop()
-        self._store.changed = lambda: loop.call_soon_threadsafe(
+        self._store.on_change = lambda: loop.call_soon_threadsafe(
             self._changed.set
         )
         async with asyncio.timeout(START_TIMEOUT_S):
             while len(self._present()) < self._count:
                 self._changed.clear()
                 await self._changed.wait()
-        self._store.changed = lambda: None
+        self._store.on_change = lambda: None
 
     def _present(self):
         found, _more = self._store.items.page(
--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -19,7 +19,7 @@
         replies_to_drop: Changes of keys that are done and not answered.
         page_size: Items on one page of a listing.
         lapse: Whether leases end by themselves when they are not renewed.
-        changed: Called after each call and each change, from any thread.
+        on_change: Called after each call and each change, from any thread.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self.page_size = page_size
         self.expire_leases = expire_leases
         self.calls = []
-        self.changed = lambda: None
+        self.on_change = lambda: None
 
     def write(self, key, value, lease=0):
         """Writes as an operator or an upstream does."""
@@ -60,20 +60,20 @@
         with self._condition:
             result = change(*args)
             self._condition.notify_all()
-        self.changed()
+        self.on_change()
         return result
 
     def _handle(self, req):
         try:
             return self._serve(req)
         finally:
-            self.changed()
+            self.on_change()
 
     def _serve(self, req):
         query = dict(urllib.parse.parse_qsl(req.query))
         call, _, argument = req.path.removeprefix('/-/').partition('/')
         self.calls.append(call)
-        self.changed()
+        self.on_change()
         if self.error_status:
             return web.Reply(self.error_status, {})
         if self.expire_leases:
