--- a/dandelionwinch/standins/scripted.py
+++ b/dandelionwinch/standins/scripted.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Seen:
+class ReceivedRequest:
     """A request as it reached the stand-in."""
 
     method: str
@@ -40,7 +40,7 @@
         self._tasks = set()
         self.address = ''
         self.release = asyncio.Event()
-        self.seen = []
+        self.requests = []
         self.closed = 0
 
     async def start(self):
@@ -77,7 +77,7 @@
     async def _one(self, reader, writer):
         head = await reader.readuntil(b'\r\n\r\n')
         seen = await self._read(head.decode('latin-1'), reader)
-        self.seen.append(seen)
+        self.requests.append(seen)
         self._changed()
         steps = self._scripts[0]
         if len(self._scripts) > 1:
@@ -110,4 +110,4 @@
         headers = {name.lower(): value for name, value in pairs}
         length = int(headers.get('content-length', 0))
         body = await reader.readexactly(length)
-        return Seen(method, target, headers, body)
+        return ReceivedRequest(method, target, headers, body)
