--- a/dandelionwinch/standins/scripted.py
+++ b/dandelionwinch/standins/scripted.py
@@ -41,7 +41,7 @@
         self.address = ''
         self.release = asyncio.Event()
         self.requests = []
-        self.closed = 0
+        self.closed_connections = 0
 
     async def start(self):
         """Listens on a port that the system chooses."""
@@ -69,7 +69,7 @@
         ):
             pass
         finally:
-            self.closed += 1
+            self.closed_connections += 1
             self._changed()
             self._tasks.discard(task)
             writer.close()
