--- a/dandelionwinch/standins/scripted.py
+++ b/dandelionwinch/standins/scripted.py
@@ -32,9 +32,9 @@
     request's id.
     """
 
-    def __init__(self, id_header, scripts, changed=lambda: None):
+    def __init__(self, id_header, scripts, on_change=lambda: None):
         self._id_header = id_header
-        self._changed = changed
+        self._on_change = on_change
         self._scripts = list(scripts)
         self._server = None
         self._tasks = set()
@@ -70,7 +70,7 @@
             pass
         finally:
             self.closed_connections += 1
-            self._changed()
+            self._on_change()
             self._tasks.discard(task)
             writer.close()
 
@@ -78,7 +78,7 @@
         head = await reader.readuntil(b'\r\n\r\n')
         seen = await self._read(head.decode('latin-1'), reader)
         self.requests.append(seen)
-        self._changed()
+        self._on_change()
         steps = self._scripts[0]
         if len(self._scripts) > 1:
             self._scripts.pop(0)
