--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -6,7 +6,7 @@
 import urllib3
 from urllib3 import exceptions
 
-from dandelionwinch.adapters import connections
+from dandelionwinch.adapters import connection_pools
 
 _LOAD_TIMEOUT_S = 0.5
 _ORDER_TIMEOUT_S = 2.0
@@ -37,12 +37,12 @@
         self.body = body
 
 
-class UpstreamBroke(Exception):
+class IncompleteResponse(Exception):
     """The connection ended or fell silent before the answer's end."""
 
 
 @attrs.frozen
-class Piece:
+class Chunk:
     """Part of an answer.
 
     Attributes:
@@ -68,7 +68,7 @@
     Attributes:
         boot: Changes when the upstream was restarted.
         order_id: Identifier of the last order that it took.
-        away: Whether it is carrying out an order.
+        applying_order: Whether it is carrying out an order.
     """
 
     running: int
@@ -78,7 +78,7 @@
     role: str
     epoch: int
     order_id: str
-    away: bool
+    applying_order: bool
     boot: int
 
 
@@ -91,33 +91,33 @@
         body: The request as the engine understands it.
         resume_after: Offset of the last piece seen, or -1.
         silence_s: Longest wait for the next piece.
-        first_s: Longest wait for the first piece.
+        first_chunk_timeout_s: Longest wait for the first piece.
     """
 
     job_id: str
     path: str
     body: dict
     resume_after: int
-    silence_s: float
-    first_s: float
+    chunk_timeout_s: float
+    first_chunk_timeout_s: float
 
 
 @attrs.frozen
-class OrderAnswer:
+class OrderReply:
     """What an upstream said to an order."""
 
-    taken: bool
+    accepted: bool
     fenced: bool
 
 
 class UpstreamAdapter:
     """Speaks to model engines."""
 
-    __slots__ = ('_conns', '_connect_s')
+    __slots__ = ('_pools', '_connect_s')
 
     def __init__(self, connect_s, idle_s):
         self._connect_s = connect_s
-        self._conns = connections.Connections(idle_s)
+        self._pools = connection_pools.ConnectionPools(idle_s)
 
     def stream(self, address, call):
         """Opens an answer as a stream.
@@ -135,20 +135,20 @@
         try:
             for item in _pieces(reply):
                 yield item
-                _set_timeout(reply, call.silence_s)
+                _set_timeout(reply, call.chunk_timeout_s)
         except (exceptions.HTTPError, OSError, ValueError) as exc:
-            raise UpstreamBroke(str(exc)) from exc
+            raise IncompleteResponse(str(exc)) from exc
         finally:
             reply.close()
 
-    def whole(self, address, call):
+    def fetch(self, address, call):
         """Fetches an answer in one piece and returns it parsed."""
         body = {**call.body, 'stream': False}
         reply = self._open(address, call, body)
         try:
             return json.loads(reply.read())
         except (exceptions.HTTPError, OSError, ValueError) as exc:
-            raise UpstreamBroke(str(exc)) from exc
+            raise IncompleteResponse(str(exc)) from exc
         finally:
             reply.close()
 
@@ -163,7 +163,7 @@
             'max_tokens': 1,
             'kv_transfer_params': {'do_remote_decode': True},
         }
-        answer = self.whole(address, attrs.evolve(call, body=body))
+        answer = self.fetch(address, attrs.evolve(call, body=body))
         return {
             **answer.get('kv_transfer_params', {}),
             'do_remote_prefill': True,
@@ -178,10 +178,11 @@
         if call.resume_after >= 0:
             headers['Last-Event-ID'] = str(call.resume_after)
         timeout = urllib3.Timeout(
-            connect=self._connect_s, read=call.first_s + _PREFILL_MARGIN_S
+            connect=self._connect_s,
+            read=call.first_chunk_timeout_s + _PREFILL_MARGIN_S,
         )
         try:
-            reply = self._conns.to(address).request(
+            reply = self._pools.pool_for(address).request(
                 'POST',
                 call.path,
                 body=json.dumps(body),
@@ -190,11 +191,11 @@
                 preload_content=False,
             )
         except _NEVER_SENT as exc:
-            self._conns.forget(address)
+            self._pools.discard(address)
             raise UpstreamUnreachable(str(exc)) from exc
         except exceptions.HTTPError as exc:
-            self._conns.forget(address)
-            raise UpstreamBroke(str(exc)) from exc
+            self._pools.discard(address)
+            raise IncompleteResponse(str(exc)) from exc
         if reply.status != 200:
             text = _read_refusal(reply)
             raise UpstreamRefused(reply.status, text)
@@ -205,7 +206,7 @@
         body = {'request_id': job_id}
         self._ask(address, 'POST', '/v1/cancel', body, _CANCEL_TIMEOUT_S)
 
-    def load(self, address):
+    def fetch_load(self, address):
         """Returns an upstream's Load, or None if it does not answer."""
         answer = self._ask(address, 'GET', '/load', None, _LOAD_TIMEOUT_S)
         if answer is None or answer.status != 200:
@@ -215,7 +216,7 @@
         except (ValueError, TypeError, AttributeError):
             return None
 
-    def order(self, address, order):
+    def send_order(self, address, order):
         """Sends an order and returns an OrderAnswer or None.
 
         None means that no answer came: it may have been taken.
@@ -228,23 +229,23 @@
         answer = self._ask(address, 'POST', '/role', body, _ORDER_TIMEOUT_S)
         if answer is None or answer.status not in (202, 409):
             return None
-        return OrderAnswer(answer.status == 202, answer.status == 409)
+        return OrderReply(answer.status == 202, answer.status == 409)
 
     def _ask(self, address, method, path, body, timeout_s):
         try:
-            return self._conns.to(address).request(
+            return self._pools.pool_for(address).request(
                 method,
                 path,
                 body=None if body is None else json.dumps(body),
                 timeout=timeout_s,
             )
         except exceptions.HTTPError:
-            self._conns.forget(address)
+            self._pools.discard(address)
             return None
 
     def close(self):
         """Closes all idle connections."""
-        self._conns.close()
+        self._pools.close()
 
 
 def _set_timeout(reply, seconds):
@@ -271,7 +272,7 @@
         role=str(body.get('role', '')),
         epoch=_count(body.get('epoch', 0)),
         order_id=str(body.get('order_id', '')),
-        away=bool(body.get('away', False)),
+        applying_order=bool(body.get('away', False)),
         boot=_count(body.get('boot', 0)),
     )
 
@@ -295,8 +296,8 @@
             return
         elif name == 'data':
             choices = json.loads(value).get('choices', [])
-            yield Piece(offset, _text_of(choices), choices)
-    raise UpstreamBroke('the stream has no end mark')
+            yield Chunk(offset, _text_of(choices), choices)
+    raise IncompleteResponse('the stream has no end mark')
 
 
 def _lines(reply):
--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -161,7 +161,7 @@
             self._handle_refusal(exc)
         except upstream_adapter.UpstreamUnreachable as exc:
             self._fail_over(str(exc))
-        except (upstream_adapter.UpstreamBroke, jobs.StreamGap) as exc:
+        except (upstream_adapter.IncompleteResponse, jobs.StreamGap) as exc:
             self._handle_broken_stream(str(exc))
 
     def _start_attempt(self):
@@ -183,7 +183,7 @@
             self.job, self._partial_text(), self._assembly.tokens
         )
         placement = self._target.placement
-        silence_s = max(
+        chunk_timeout_s = max(
             self._cfg.least_silence_s,
             self._cfg.silence_factor * placement.token_gap_s,
         )
@@ -192,8 +192,8 @@
             path=self.job.path,
             body=body,
             resume_after=self._assembly.resume_after(),
-            silence_s=silence_s,
-            first_s=min(
+            chunk_timeout_s=chunk_timeout_s,
+            first_chunk_timeout_s=min(
                 placement.first_token_s + FIRST_TOKEN_MARGIN_S, self._left_s()
             ),
         )
@@ -216,7 +216,7 @@
         except upstream_adapter.UpstreamRefused as exc:
             self._report_failure(placement.prefill_upstream, str(exc))
             raise upstream_adapter.UpstreamUnreachable(str(exc)) from exc
-        except upstream_adapter.UpstreamBroke as exc:
+        except upstream_adapter.IncompleteResponse as exc:
             self._report_failure(placement.prefill_upstream, str(exc))
             raise upstream_adapter.UpstreamUnreachable(str(exc)) from exc
 
@@ -224,7 +224,7 @@
         match item:
             case upstream_adapter.End():
                 self._assembly.end(attempt)
-            case upstream_adapter.Piece(offset=offset, text=text):
+            case upstream_adapter.Chunk(offset=offset, text=text):
                 if not self._assembly.accept(attempt, offset, text):
                     return
                 self._answer_chars += len(text)
@@ -309,7 +309,7 @@
             target.placement.address, f'{self._job_id}-{target.generation}'
         )
 
-    def whole(self, request_id):
+    def fetch(self, request_id):
         """Returns the whole answer as a JSON body in bytes."""
         if not self.job.continuable:
             return self._fetch_whole()
@@ -327,9 +327,9 @@
             self._start_attempt()
             try:
                 call = self._build_call()
-                call = attrs.evolve(call, first_s=self._left_s())
+                call = attrs.evolve(call, first_chunk_timeout_s=self._left_s())
                 self._sent = True
-                body = self._core.upstreams.whole(
+                body = self._core.upstreams.fetch(
                     self._target.placement.address, call
                 )
                 usage = body.get('usage') or {}
@@ -342,7 +342,7 @@
                 self._handle_refusal(exc)
             except (
                 upstream_adapter.UpstreamUnreachable,
-                upstream_adapter.UpstreamBroke,
+                upstream_adapter.IncompleteResponse,
             ) as exc:
                 self._fail_over(str(exc))
 
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -252,7 +252,7 @@
         ]
         answers = [
             await core.run_blocking(
-                core.services.outcome, upstream.address, key
+                core.services.fetch_outcome, upstream.address, key
             )
             for upstream in upstreams
         ]
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -92,7 +92,7 @@
         """
         core = self._core
         requested_at = core.now()
-        load = await core.run_blocking(core.upstreams.load, upstream.address)
+        load = await core.run_blocking(core.upstreams.fetch_load, upstream.address)
         message = peer_pb2.UpstreamLoad(upstream=upstream.name)
         if load is None:
             message.failed = True
@@ -102,7 +102,7 @@
             message.waiting_tokens = load.waiting_tokens
             message.kv_tokens = load.kv_tokens
             message.role = load.role
-            message.away = load.away
+            message.away = load.applying_order
             message.order_id = load.order_id
             message.epoch = load.epoch
         self._record(message, requested_at)
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -219,7 +219,7 @@
             # lease may end while the call waits for a thread.
             if time.monotonic() >= lease.expires_at:
                 return None
-            return core.upstreams.order(upstream.address, order)
+            return core.upstreams.send_order(upstream.address, order)
 
         if not lease.begin_send():
             return None
@@ -227,7 +227,7 @@
             answer = await core.run_blocking(send)
         finally:
             lease.end_send()
-        return None if answer is None else answer.taken
+        return None if answer is None else answer.accepted
 
     async def _release_hold(self, upstream_name, order_id):
         request = peer_pb2.HoldRequest(
@@ -318,4 +318,6 @@
     if load is None:
         return None
     jobs = load.running + load.waiting
-    return orders.UpstreamStatus(load.order_id, load.away, jobs, load.epoch)
+    return orders.UpstreamStatus(
+        load.order_id, load.applying_order, jobs, load.epoch
+    )
--- a/dandelionwinch/standins/kvitems.py
+++ b/dandelionwinch/standins/kvitems.py
@@ -8,7 +8,7 @@
 FIRST_LEASE = 101
 
 
-class Refused(enum.Enum):
+class Rejection(enum.Enum):
     """Why a change was not made."""
 
     CONDITION = 'condition'
@@ -85,7 +85,7 @@
             if change.revision > after and change.key.startswith(prefix)
         ]
 
-    def drop_history(self):
+    def compact(self):
         """Forgets all changes up to now."""
         self._history.clear()
         self._dropped = self.revision
@@ -97,7 +97,7 @@
         self._leases[lease] = (now + ttl_s, ttl_s)
         return lease
 
-    def keep(self, lease, now):
+    def renew(self, lease, now):
         """Renews a lease; tells whether it was there."""
         if lease not in self._leases:
             return False
@@ -105,7 +105,7 @@
         self._leases[lease] = (now + ttl_s, ttl_s)
         return True
 
-    def end(self, lease):
+    def revoke(self, lease):
         """Ends a lease and removes its keys."""
         self._leases.pop(lease, None)
         held = [k for k, item in self._items.items() if item.lease == lease]
@@ -116,14 +116,14 @@
         """Ends leases that were not renewed in time."""
         for lease, (until, _ttl_s) in list(self._leases.items()):
             if until < now:
-                self.end(lease)
+                self.revoke(lease)
 
-    def end_all(self):
+    def revoke_all(self):
         """Lets all leases lapse."""
         for lease in list(self._leases):
-            self.end(lease)
+            self.revoke(lease)
 
-    def transact(self, conditions, puts, removed):
+    def commit(self, conditions, puts, removed):
         """Makes all changes or none.
 
         Args:
@@ -137,9 +137,9 @@
         for key, revision in conditions:
             item = self._items.get(key)
             if (item.revision if item else 0) != revision:
-                return Refused.CONDITION
+                return Rejection.CONDITION
         if any(lease and lease not in self._leases for _k, _v, lease in puts):
-            return Refused.LEASE
+            return Rejection.LEASE
         for key, value, lease in puts:
             self.put(key, value, lease)
         for key in removed:
--- a/dandelionwinch/standins/scripted.py
+++ b/dandelionwinch/standins/scripted.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Seen:
+class ReceivedRequest:
     """A request as it reached the stand-in."""
 
     method: str
@@ -32,16 +32,16 @@
     request's id.
     """
 
-    def __init__(self, id_header, scripts, changed=lambda: None):
+    def __init__(self, id_header, scripts, on_change=lambda: None):
         self._id_header = id_header
-        self._changed = changed
+        self._on_change = on_change
         self._scripts = list(scripts)
         self._server = None
         self._tasks = set()
         self.address = ''
         self.release = asyncio.Event()
-        self.seen = []
-        self.closed = 0
+        self.requests = []
+        self.closed_connections = 0
 
     async def start(self):
         """Listens on a port that the system chooses."""
@@ -69,16 +69,16 @@
         ):
             pass
         finally:
-            self.closed += 1
-            self._changed()
+            self.closed_connections += 1
+            self._on_change()
             self._tasks.discard(task)
             writer.close()
 
     async def _one(self, reader, writer):
         head = await reader.readuntil(b'\r\n\r\n')
         seen = await self._read(head.decode('latin-1'), reader)
-        self.seen.append(seen)
-        self._changed()
+        self.requests.append(seen)
+        self._on_change()
         steps = self._scripts[0]
         if len(self._scripts) > 1:
             self._scripts.pop(0)
@@ -110,4 +110,4 @@
         headers = {name.lower(): value for name, value in pairs}
         length = int(headers.get('content-length', 0))
         body = await reader.readexactly(length)
-        return Seen(method, target, headers, body)
+        return ReceivedRequest(method, target, headers, body)
--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -126,7 +126,7 @@
 
     def _lose_answers(self):
         for server in self._fleet.services.values():
-            server.lose_answers = 2
+            server.replies_to_drop = 2
 
     def _kill(self):
         self._fleet.kill(self._fleet.instances[1])
@@ -193,14 +193,16 @@
     executions = fleet.journal.executions
     run_keys = {item.key for item in executions if item.key}
     run_requests = {item.request_id for item in executions}
-    begun = {job.rpartition('-')[0] for e in engines for job in e.started}
+    begun = {job.rpartition('-')[0] for e in engines for job in e.started_jobs}
     told_not_run = {i for o in outcomes for i in o.not_run}
     summary = Summary(house, jobs=len(outcomes))
     summary.answered_whole = _count(outcomes, 'whole')
     summary.refused_truthfully = _count(outcomes, 'refused')
     summary.unknown = _count(outcomes, 'unknown')
-    summary.cut = _count(outcomes, 'wrong') + sum(e.cut for e in engines)
-    summary.doubled = len(fleet.journal.doubled())
+    summary.cut = _count(outcomes, 'wrong') + sum(
+        e.interrupted_answers for e in engines
+    )
+    summary.doubled = len(fleet.journal.duplicate_keys())
     summary.falsely_refused = len(told_not_run & (run_requests | begun))
     summary.refused_truthfully -= min(
         summary.refused_truthfully, summary.falsely_refused
@@ -210,8 +212,8 @@
         for o in outcomes
         if o.kind == 'charge' and o.state == 'whole' and o.key not in run_keys
     )
-    summary.overlapping_orders = sum(e.overlaps for e in engines)
-    summary.stale_orders = sum(e.stale for e in engines)
+    summary.overlapping_orders = sum(e.overlapping_orders for e in engines)
+    summary.stale_orders = sum(e.stale_orders for e in engines)
     summary.lost_connections = sum(o.lost for o in outcomes)
     tokens = sum(o.tokens for o in outcomes if o.state == 'whole')
     summary.goodput_tokens_per_s = round(tokens / seconds, 1)
