--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -92,7 +92,9 @@
         """
         core = self._core
         requested_at = core.now()
-        load = await core.run_blocking(core.upstreams.fetch_load, upstream.address)
+        load = await core.run_blocking(
+            core.upstreams.fetch_load, upstream.address
+        )
         message = peer_pb2.UpstreamLoad(upstream=upstream.name)
         if load is None:
             message.failed = True
