--- a/dandelionwinch/soak/__init__.py
+++ b/dandelionwinch/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A fault soak: real instances, stand-ins, and faults from outside."""
+"""Soak test of real instances and stand-ins under injected faults."""
 
 from dandelionwinch.soak._run import run
 
--- a/dandelionwinch/soak/_caller.py
+++ b/dandelionwinch/soak/_caller.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: kept connections, and a check of each answer."""
+"""Callers of the soak: persistent connections and checked responses."""
 
 import asyncio
 
@@ -8,80 +8,88 @@
 from dandelionwinch.soak import _upstream
 
 TIMEOUT_S = 4.0
-KEEP_ADDRESS_S = 2.0
-PAUSE_S = 0.02
-NOT_RUN = (408, 421, 429, 503)
+ADDRESS_TTL_S = 2.0
+REQUEST_PAUSE_S = 0.02
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @attrs.define
-class Seen:
-    """What all callers saw.
+class Observations:
+    """The responses that all callers received.
 
     Attributes:
-        statuses: Number of final answers by status, 0 for none.
-        not_run: Ids of requests that were said not to have run.
-        wrong: Findings about single answers.
-        sent_to: Address of the instance that each request was sent to.
+        statuses: Number of final responses by status, 0 for none.
+        not_run: Ids of requests whose status says that they did not run.
+        violations: Descriptions of incorrect responses.
+        sent_to: Frontend address that each request was sent to, by id.
     """
 
     statuses: dict = attrs.Factory(dict)
     not_run: list = attrs.Factory(list)
-    wrong: list = attrs.Factory(list)
+    violations: list = attrs.Factory(list)
     sent_to: dict = attrs.Factory(dict)
 
-    def note(self, request_id, status):
-        """Notes a final answer."""
+    def record(self, request_id, status):
+        """Records a final response."""
         self.statuses[status] = self.statuses.get(status, 0) + 1
-        if status in NOT_RUN:
+        if status in NOT_RUN_STATUSES:
             self.not_run.append(request_id)
 
 
 class Caller:
-    """Sends requests one after another until it is stopped."""
+    """A caller that sends one request at a time.
+
+    Args:
+        name: Name of the caller, a part of its request ids.
+        directories: Addresses that resolve a data centre to instances.
+        frontends: Address to connect to, by frontend address.
+        observations: Observations that all callers share.
+        rng: Random generator of this caller.
+    """
 
-    def __init__(self, name, directories, fronts, seen, rng):
+    def __init__(self, name, directories, frontends, observations, rng):
         self._name = name
         self._directories = directories
-        self._fronts = fronts
-        self._seen = seen
+        self._frontends = frontends
+        self._observations = observations
         self._rng = rng
         self._addresses = []
-        self._asked_at = float('-inf')
+        self._resolved_at = float('-inf')
         self._conn = None
         self._instance = ''
-        self._number = 0
+        self._sequence = 0
 
     async def run(self):
-        """Sends requests until it is cancelled."""
+        """Sends requests until the task is cancelled."""
         while True:
-            self._number += 1
+            self._sequence += 1
             kind = self._rng.choice(('once', 'safe', 'resume'))
-            request_id = f'{kind}-{self._name}-{self._number}'
+            request_id = f'{kind}-{self._name}-{self._sequence}'
             try:
                 async with asyncio.timeout(TIMEOUT_S):
-                    status = await self._one(kind, request_id)
+                    status = await self._send_request(kind, request_id)
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 status = 0
             if status == 0:
-                self._drop()
-            self._seen.note(request_id, status)
-            await asyncio.sleep(PAUSE_S)
+                self._disconnect()
+            self._observations.record(request_id, status)
+            await asyncio.sleep(REQUEST_PAUSE_S)
 
-    def _drop(self):
+    def _disconnect(self):
         if self._conn is not None:
             self._conn[1].close()
             self._conn = None
 
-    async def _one(self, kind, request_id):
+    async def _send_request(self, kind, request_id):
         if self._conn is None:
             self._conn = await self._connect()
         reader, writer = self._conn
-        self._seen.sent_to[request_id] = self._instance
+        self._observations.sent_to[request_id] = self._instance
         prompt = (40, 60) if kind == 'resume' else None
         writer.write(samples.request(f'/{kind}/1', request_id, prompt=prompt))
-        status, headers, body = await _answer(reader)
+        status, headers, body = await _read_response(reader)
         if headers.get('connection') == 'close':
-            self._drop()
+            self._disconnect()
         if status == 200:
             self._check(kind, request_id, headers, body)
         return status
@@ -89,23 +97,27 @@
     def _check(self, kind, request_id, headers, body):
         expected = f'answer to {request_id}'.encode()
         if kind == 'resume':
-            numbers = range(1, _upstream.EVENTS + 1)
+            numbers = range(1, _upstream.EVENTS_PER_STREAM + 1)
             expected = b''.join(
                 f'id: {n}\ndata: {request_id}\n\n'.encode() for n in numbers
             )
         if body != expected:
-            self._seen.wrong.append(f'{request_id}: body {body[:80]!r}')
+            self._observations.violations.append(
+                f'{request_id}: body {body[:80]!r}'
+            )
         if headers.get(samples.REQUEST_ID) != request_id:
-            self._seen.wrong.append(f'{request_id}: another id')
+            self._observations.violations.append(
+                f'{request_id}: the response has another id'
+            )
 
     async def _connect(self):
         loop = asyncio.get_running_loop()
-        if loop.time() - self._asked_at > KEEP_ADDRESS_S:
+        if loop.time() - self._resolved_at > ADDRESS_TTL_S:
             await self._resolve(loop)
         if not self._addresses:
-            raise OSError('no address is known')
+            raise OSError('no directory returned an address')
         self._instance = self._rng.choice(self._addresses)
-        address = self._fronts[self._instance]
+        address = self._frontends[self._instance]
         host, _, port = address.rpartition(':')
         return await asyncio.open_connection(host, int(port))
 
@@ -118,22 +130,22 @@
                         host, int(port)
                     )
                     writer.write(samples.resolve_request('a', 'north'))
-                    status, _headers, body = await _answer(reader)
+                    status, _headers, body = await _read_response(reader)
                     writer.close()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 continue
             if status == 200:
                 self._addresses = samples.resolved_addresses(body)
-                self._asked_at = loop.time()
+                self._resolved_at = loop.time()
                 return
 
 
-async def _answer(reader):
+async def _read_response(reader):
     head = (await reader.readuntil(b'\r\n\r\n')).decode('latin-1')
-    first, *lines = head.strip().split('\r\n')
+    status_line, *lines = head.strip().split('\r\n')
     pairs = (line.split(': ', 1) for line in lines)
     headers = {name.lower(): value for name, value in pairs}
-    status = int(first.split(' ')[1])
+    status = int(status_line.split(' ')[1])
     if 'content-length' in headers:
         body = await reader.readexactly(int(headers['content-length']))
         return status, headers, body
--- a/dandelionwinch/soak/_process.py
+++ b/dandelionwinch/soak/_process.py
@@ -1,4 +1,4 @@
-"""The real processes of a soak, and loopback addresses of its own."""
+"""Instance processes of a soak, and the loopback addresses they use."""
 
 import asyncio
 import os
@@ -7,15 +7,25 @@
 
 from dandelionwinch.platform import samples
 
-RESTART_S = 0.5
+RESTART_DELAY_S = 0.5
 LOCK_PORT = 9463
-BLOCKS = 200
+BLOCK_COUNT = 200
 
 
-def own_block():
-    """Returns a lock and a block of loopback addresses of its own."""
-    for step in range(BLOCKS):
-        block = 1 + (os.getpid() + step) % BLOCKS
+def reserve_address_block():
+    """Reserves a block of loopback addresses for one soak.
+
+    Soaks that run at the same time get different blocks.
+
+    Returns:
+        A bound socket that holds the reservation until it is closed, and
+        the number of the block, the second byte of its addresses.
+
+    Raises:
+        OSError: If all blocks are reserved.
+    """
+    for step in range(BLOCK_COUNT):
+        block = 1 + (os.getpid() + step) % BLOCK_COUNT
         lock = socket.socket()
         try:
             lock.bind((f'127.{block}.0.1', LOCK_PORT))
@@ -23,28 +33,31 @@
             lock.close()
             continue
         return lock, block
-    raise OSError(f'all {BLOCKS} blocks of addresses are in use')
+    raise OSError(f'all {BLOCK_COUNT} blocks of addresses are in use')
 
 
 class Instance:
-    """One real process.
+    """An instance in a process of its own.
 
     Attributes:
-        front: Its address for callers.
-        stopped: Whether it is not to be started again.
+        frontend: Its frontend address.
+        stopped: Whether ``restart`` must not start it again.
     """
 
-    def __init__(self, name, front, path, log_path):
+    def __init__(self, name, frontend, settings_path, log_path):
         self.name = name
-        self.front = front
-        self._path = path
+        self.frontend = frontend
+        self._settings_path = settings_path
         self._log_path = log_path
         self.process = None
         self.stopped = False
 
     async def start(self):
-        """Starts the program."""
-        env = {**os.environ, samples.SETTINGS_VARIABLE: str(self._path)}
+        """Starts the process."""
+        env = {
+            **os.environ,
+            samples.SETTINGS_VARIABLE: str(self._settings_path),
+        }
         with open(self._log_path, 'ab') as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -55,14 +68,14 @@
                 stderr=log,
             )
 
-    def send(self, number):
+    def send_signal(self, signal_number):
         """Sends a signal if the process runs."""
         if self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def restart(self):
-        """Waits for the end of the process and starts it again."""
+        """Waits until the process exits, then starts it again."""
         await self.process.wait()
-        await asyncio.sleep(RESTART_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         if not self.stopped:
             await self.start()
--- a/dandelionwinch/soak/_proxy.py
+++ b/dandelionwinch/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that resets, silences, delays or cuts one way."""
+"""A loopback proxy that resets, drops or delays traffic."""
 
 import asyncio
 import enum
@@ -8,7 +8,10 @@
 
 
 class Mode(enum.Enum):
-    """What the proxy does with bytes."""
+    """What the proxy does with the bytes that it receives.
+
+    SILENT drops both directions, ONE_WAY drops the responses.
+    """
 
     PASS = 'pass'
     DELAY = 'delay'
@@ -20,8 +23,13 @@
 class Proxy:
     """Forwards connections to one address.
 
+    Args:
+        target: The address, as host:port.
+
     Attributes:
-        name: Whose link it is, for those that tell of it.
+        address: The address that it listens on.
+        mode: The current Mode.
+        name: Name of the link in the timeline of the soak.
     """
 
     __slots__ = (
@@ -42,20 +50,20 @@
         self.mode = Mode.PASS
 
     async def start(self):
-        """Listens on a port that the system chooses."""
+        """Starts to listen on a free port."""
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f'{host}:{port}'
 
     def set_mode(self, mode):
-        """Changes the mode; resets end all open connections."""
+        """Changes the mode; RESET aborts all open connections."""
         self.mode = mode
         if mode is Mode.RESET:
             for writer in list(self._writers):
                 writer.transport.abort()
 
     async def close(self):
-        """Stops listening and ends all connections."""
+        """Stops listening and aborts all connections."""
         self.set_mode(Mode.RESET)
         self._server.close()
 
@@ -65,26 +73,26 @@
             return
         host, _, port = self._target.rpartition(':')
         try:
-            there = await asyncio.open_connection(host, int(port))
+            remote = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, there[1]}
+        self._writers |= {writer, remote[1]}
         try:
             await asyncio.gather(
-                self._copy(reader, there[1], (Mode.SILENT,)),
-                self._copy(there[0], writer, (Mode.SILENT, Mode.ONE_WAY)),
+                self._copy(reader, remote[1], (Mode.SILENT,)),
+                self._copy(remote[0], writer, (Mode.SILENT, Mode.ONE_WAY)),
             )
         except asyncio.CancelledError:
-            # The loop ends with the soak; there is nobody to tell.
+            # The event loop shuts down with the soak; nothing awaits the task.
             writer.transport.abort()
         finally:
-            self._writers -= {writer, there[1]}
+            self._writers -= {writer, remote[1]}
 
-    async def _copy(self, reader, writer, dropping):
+    async def _copy(self, reader, writer, dropping_modes):
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if self.mode in dropping:
+                if self.mode in dropping_modes:
                     continue
                 if self.mode is Mode.DELAY:
                     await asyncio.sleep(DELAY_S)
--- a/dandelionwinch/soak/_run.py
+++ b/dandelionwinch/soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak: starts everything, injects faults by seed, and judges."""
+"""One soak: starts the processes, injects faults and checks the results."""
 
 import asyncio
 import math
@@ -18,7 +18,7 @@
 from dandelionwinch.standins import kvstore
 from dandelionwinch import utils
 
-QUIET_S = 6.0
+RECOVERY_S = 6.0
 GRACE_S = 4
 RETRY_SLACK = 200
 FAULTS = (
@@ -34,21 +34,21 @@
 )
 START_TIMEOUT_S = 120.0
 INSTANCE_PREFIX = 'dandelionwinch/instances/'
-# An instance knows the store's state again this long after a cut.
-CONTACT_S = 4.0
+# Time after a cut-off within which an instance has the store's state again.
+CATCH_UP_S = 4.0
 THREADS_PER_INSTANCE = 2
-MORE_THREADS = 64
+BASE_THREADS = 64
 
 
 @attrs.frozen
 class Result:
-    """What a soak found.
+    """The result of a soak.
 
     Attributes:
-        statuses: Final answers by status, 0 for a closed connection.
-        faults: Faults that were injected, by kind.
-        timeline: Each fault with its time in seconds.
-        broken: Broken promises; empty if all held.
+        statuses: Number of final responses by status, 0 for none.
+        faults: Number of injected faults by kind.
+        timeline: Time in seconds, kind and target of each fault.
+        broken: Violated guarantees; empty if all held.
     """
 
     seed: int
@@ -61,90 +61,95 @@
 
 
 @attrs.define
-class _Cut:
-    """A time in which an instance could not follow the store.
+class _CutOff:
+    """A period in which an instance could not follow the store.
 
     Attributes:
-        front: The instance's address for callers, '' for other links.
+        frontend: Frontend address of the instance, '' for links other than
+            its link to the store.
+        start: Event loop time.
+        end: Event loop time, infinite while the period lasts.
     """
 
-    front: str
+    frontend: str
     start: float
     end: float = math.inf
 
 
 class _Soak:
+    """The processes, links and records of one soak."""
+
     def __init__(self, seed, instances, callers, folder):
         self._rng = random.Random(seed)
         self._seed = seed
-        self._count = instances
-        self._callers = callers
+        self._instance_count = instances
+        self._caller_count = callers
         self._folder = pathlib.Path(folder)
-        threads = MORE_THREADS + THREADS_PER_INSTANCE * instances
+        threads = BASE_THREADS + THREADS_PER_INSTANCE * instances
         self._store = kvstore.KvStore(lapse=True, threads=threads)
-        self._record = _upstream.Record()
-        self._seen = _caller.Seen()
+        self._executions = _upstream.ExecutionLog()
+        self._observations = _caller.Observations()
         self._faults = {}
         self._timeline = []
-        self._began = 0.0
-        self._cuts = []
-        self._lock, self._block = _process.own_block()
+        self._started_at = 0.0
+        self._cut_offs = []
+        self._lock, self._block = _process.reserve_address_block()
         self._tasks = set()
         self._restarts = set()
-        self._version = 1
+        self._config_version = 1
         self._next_upstream = 0
         self._upstreams = []
         self._instances = []
         self._proxies = {'store': [], 'upstream': [], 'caller': []}
-        self._fronts = {}
-        self._changed = asyncio.Event()
+        self._frontends = {}
+        self._store_changed = asyncio.Event()
 
     async def run(self, for_s):
-        """Plays the soak and returns its Result."""
+        """Runs the soak and returns its Result."""
         self._store.start()
         try:
-            await self._play(for_s)
+            await self._run_phases(for_s)
         finally:
             await self._stop()
-        return self._judge()
+        return self._result()
 
-    async def _play(self, for_s):
+    async def _run_phases(self, for_s):
         for _n in range(4):
             await self._add_upstream()
         self._write_config()
         directories = await self._start_instances()
-        await self._await_started()
-        for number in range(self._callers):
+        await self._wait_until_registered()
+        for number in range(self._caller_count):
             rng = random.Random(self._rng.random())
             caller = _caller.Caller(
-                number, directories, self._fronts, self._seen, rng
+                number, directories, self._frontends, self._observations, rng
             )
             self._spawn(caller.run())
         loop = asyncio.get_running_loop()
-        self._began = loop.time()
-        until = self._began + for_s
+        self._started_at = loop.time()
+        until = self._started_at + for_s
         while loop.time() < until:
             await asyncio.sleep(self._rng.uniform(0.2, 1.2))
-            await self._inject(self._rng.choice(FAULTS))
+            await self._inject_fault(self._rng.choice(FAULTS))
         await self._check_recovery()
 
-    async def _await_started(self):
-        """Waits until all instances have an entry in the store."""
+    async def _wait_until_registered(self):
+        """Waits until all instances are registered in the store."""
         loop = asyncio.get_running_loop()
         self._store.changed = lambda: loop.call_soon_threadsafe(
-            self._changed.set
+            self._store_changed.set
         )
         async with asyncio.timeout(START_TIMEOUT_S):
-            while len(self._present()) < self._count:
-                self._changed.clear()
-                await self._changed.wait()
+            while len(self._registered()) < self._instance_count:
+                self._store_changed.clear()
+                await self._store_changed.wait()
         self._store.changed = lambda: None
 
-    def _present(self):
-        found, _more = self._store.items.page(
-            INSTANCE_PREFIX, '', self._count + 1
+    def _registered(self):
+        entries, _more = self._store.items.page(
+            INSTANCE_PREFIX, '', self._instance_count + 1
         )
-        return found
+        return entries
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
@@ -152,7 +157,10 @@
         task.add_done_callback(self._tasks.discard)
 
     def _spawn_restart(self, coroutine):
-        """Starts a task that is never cancelled: it may start a process."""
+        """Starts a task that is not cancelled, as it may start a process.
+
+        ``_stop`` waits for it, so that no process is left over.
+        """
         task = asyncio.create_task(coroutine)
         self._restarts.add(task)
         task.add_done_callback(self._restarts.discard)
@@ -160,13 +168,13 @@
     async def _start_instances(self):
         ports = utils.free_ports(3)
         directories = []
-        for number in range(self._count):
+        for number in range(self._instance_count):
             ip = f'127.{self._block}.{number // 200}.{10 + number % 200}'
             proxy = await self._add_proxy('store', self._store.address)
-            front = f'{ip}:{ports[0]}'
-            proxy.name = front
-            front_proxy = await self._add_proxy('caller', front)
-            self._fronts[front] = front_proxy.address
+            frontend = f'{ip}:{ports[0]}'
+            proxy.name = frontend
+            frontend_proxy = await self._add_proxy('caller', frontend)
+            self._frontends[frontend] = frontend_proxy.address
             name = f'i-{number}'
             path = self._folder / f'{name}.toml'
             text = samples.settings(
@@ -181,7 +189,7 @@
             )
             path.write_text(text)
             log_path = self._folder / f'{name}.log'
-            instance = _process.Instance(name, front, path, log_path)
+            instance = _process.Instance(name, frontend, path, log_path)
             await instance.start()
             self._instances.append(instance)
             directories.append(f'{ip}:{ports[2]}')
@@ -196,20 +204,20 @@
     async def _add_upstream(self):
         self._next_upstream += 1
         rng = random.Random(self._rng.random())
-        made = _upstream.SoakUpstream(
-            f'u-{self._next_upstream}', self._record, rng
+        upstream = _upstream.SoakUpstream(
+            f'u-{self._next_upstream}', self._executions, rng
         )
-        await made.start()
-        made.proxy = await self._add_proxy('upstream', made.address)
-        self._upstreams.append(made)
-        self._write_entry(made, 'ready')
+        await upstream.start()
+        upstream.proxy = await self._add_proxy('upstream', upstream.address)
+        self._upstreams.append(upstream)
+        self._write_entry(upstream, 'ready')
 
     def _write_entry(self, upstream, state):
         entry = samples.entry(address=upstream.proxy.address, state=state)
         self._store.write(samples.entry_key(upstream.id), entry)
 
     def _write_config(self):
-        rows = [
+        route_list = [
             samples.route_of('once', routes.RetryPolicy.ONCE),
             samples.route_of(
                 'safe', routes.RetryPolicy.IDEMPOTENT, attempts=2
@@ -221,69 +229,71 @@
                 attempts=2,
             ),
         ]
-        value = samples.config(self._version, rows, [samples.service()])
+        value = samples.config(
+            self._config_version, route_list, [samples.service()]
+        )
         self._store.write(samples.CONFIG_KEY, value)
 
-    def _note(self, fault, target):
-        at = asyncio.get_running_loop().time() - self._began
+    def _record_fault(self, fault, target):
+        at = asyncio.get_running_loop().time() - self._started_at
         self._timeline.append(f'{at:.2f} {fault} {target}')
 
-    async def _inject(self, fault):
+    async def _inject_fault(self, fault):
         self._faults[fault] = self._faults.get(fault, 0) + 1
         instance = self._rng.choice(self._instances)
-        self._note(fault, instance.name)
+        self._record_fault(fault, instance.name)
         match fault:
             case 'kill':
-                instance.send(signal.SIGKILL)
+                instance.send_signal(signal.SIGKILL)
                 self._spawn_restart(instance.restart())
             case 'term':
-                instance.send(signal.SIGTERM)
-                self._spawn_restart(self._end_stop(instance))
+                instance.send_signal(signal.SIGTERM)
+                self._spawn_restart(self._finish_stop(instance))
             case 'hup':
-                instance.send(signal.SIGHUP)
+                instance.send_signal(signal.SIGHUP)
             case 'pause':
-                instance.send(signal.SIGSTOP)
-                self._spawn(self._resume(instance))
+                instance.send_signal(signal.SIGSTOP)
+                self._spawn(self._resume_later(instance))
             case 'store' | 'upstream' | 'caller':
                 proxy = self._rng.choice(self._proxies[fault])
-                self._spawn(self._disturb(proxy))
+                self._spawn(self._disturb_link(proxy))
             case 'leave':
                 await self._replace_upstream()
             case 'config':
-                self._version += self._rng.randint(1, 3)
+                self._config_version += self._rng.randint(1, 3)
                 self._write_config()
 
-    async def _end_stop(self, instance):
+    async def _finish_stop(self, instance):
         process = instance.process
         try:
             async with asyncio.timeout(GRACE_S):
                 await process.wait()
         except TimeoutError:
-            instance.send(signal.SIGKILL)
+            instance.send_signal(signal.SIGKILL)
         await instance.restart()
 
-    async def _resume(self, instance):
+    async def _resume_later(self, instance):
         process = instance.process
-        cut = self._begin_cut(instance.front)
+        cut_off = self._begin_cut_off(instance.frontend)
         await asyncio.sleep(self._rng.uniform(0.5, 4.0))
-        cut.end = asyncio.get_running_loop().time()
+        cut_off.end = asyncio.get_running_loop().time()
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
 
-    def _begin_cut(self, front):
-        cut = _Cut(front, asyncio.get_running_loop().time())
-        self._cuts.append(cut)
-        return cut
+    def _begin_cut_off(self, frontend):
+        cut_off = _CutOff(frontend, asyncio.get_running_loop().time())
+        self._cut_offs.append(cut_off)
+        return cut_off
 
-    async def _disturb(self, proxy):
+    async def _disturb_link(self, proxy):
         modes = [m for m in _proxy.Mode if m is not _proxy.Mode.PASS]
         mode = self._rng.choice(modes)
-        cut = self._begin_cut(proxy.name)
-        self._note(mode.value, proxy.name)
+        cut_off = self._begin_cut_off(proxy.name)
+        self._record_fault(mode.value, proxy.name)
         proxy.set_mode(mode)
         await asyncio.sleep(self._rng.uniform(0.5, 3.0))
         proxy.set_mode(_proxy.Mode.PASS)
-        cut.end = asyncio.get_running_loop().time()
+        cut_off.end = asyncio.get_running_loop().time()
 
     async def _replace_upstream(self):
         await self._add_upstream()
@@ -292,29 +302,31 @@
             self._write_entry(leaving, 'draining')
         else:
             self._store.remove(samples.entry_key(leaving.id))
-        self._spawn(self._end_upstream(leaving))
+        self._spawn(self._withdraw_upstream(leaving))
 
-    async def _end_upstream(self, leaving):
+    async def _withdraw_upstream(self, leaving):
         loop = asyncio.get_running_loop()
-        left_at = loop.time()
+        withdrawn_at = loop.time()
         await asyncio.sleep(_upstream.DRAIN_S / 2)
         self._store.remove(samples.entry_key(leaving.id))
-        leaving.left_at = left_at
+        leaving.withdrawn_at = withdrawn_at
         await asyncio.sleep(_upstream.DRAIN_S)
         leaving.close()
 
     async def _check_recovery(self):
-        """After a quiet time, most requests must be served again."""
+        """Checks that most requests are served some time after all faults."""
         for proxy in self._all_proxies():
             proxy.set_mode(_proxy.Mode.PASS)
-        await asyncio.sleep(QUIET_S)
-        before = dict(self._seen.statuses)
-        await asyncio.sleep(QUIET_S)
-        good = self._seen.statuses.get(200, 0) - before.get(200, 0)
-        total = sum(self._seen.statuses.values()) - sum(before.values())
-        if good * 2 < total or not good:
-            self._seen.wrong.append(
-                f'not recovered: {good} of {total} requests are served'
+        await asyncio.sleep(RECOVERY_S)
+        before = dict(self._observations.statuses)
+        await asyncio.sleep(RECOVERY_S)
+        served = self._observations.statuses.get(200, 0) - before.get(200, 0)
+        total = sum(self._observations.statuses.values()) - sum(
+            before.values()
+        )
+        if served * 2 < total or not served:
+            self._observations.violations.append(
+                f'not recovered: {served} of {total} requests were served'
             )
 
     async def _stop(self):
@@ -339,43 +351,49 @@
     def _kill_all(self):
         for instance in self._instances:
             instance.stopped = True
-            instance.send(signal.SIGCONT)
-            instance.send(signal.SIGKILL)
+            instance.send_signal(signal.SIGCONT)
+            instance.send_signal(signal.SIGKILL)
 
     def _was_cut_off(self, request_id, at):
-        """Tells whether the instance could not know of a leaving upstream."""
-        front = self._seen.sent_to.get(request_id)
+        """Returns whether the instance may have missed a withdrawal.
+
+        Args:
+            request_id: Request that the instance sent.
+            at: When the request reached the upstream, in event loop time.
+        """
+        frontend = self._observations.sent_to.get(request_id)
         return any(
-            cut.front == front and cut.start <= at <= cut.end + CONTACT_S
-            for cut in self._cuts
+            cut_off.frontend == frontend
+            and cut_off.start <= at <= cut_off.end + CATCH_UP_S
+            for cut_off in self._cut_offs
         )
 
-    def _judge(self):
-        runs = self._record.runs
-        broken = list(self._seen.wrong)
+    def _result(self):
+        runs = self._executions.runs
+        broken = list(self._observations.violations)
         broken += [
             f'{request_id}: ran {count} times'
             for request_id, count in runs.items()
             if request_id.startswith('once-') and count > 1
         ]
         broken += [
-            f'{request_id}: said not to have run, but ran'
-            for request_id in self._seen.not_run
+            f'{request_id}: reported as not run, but ran'
+            for request_id in self._observations.not_run
             if request_id in runs and request_id.startswith('once-')
         ]
         broken += [
-            f'{request_id}: sent to an upstream long after it had left'
-            for request_id, at in self._record.late
+            f'{request_id}: sent to an upstream long after its withdrawal'
+            for request_id, at in self._executions.late
             if not self._was_cut_off(request_id, at)
         ]
         for path in sorted(self._folder.glob('*.log')):
             if 'gateway.fault' in path.read_text(errors='replace'):
-                broken.append(f'{path.name}: an error of our own')
+                broken.append(f'{path.name}: an internal error of the gateway')
         return Result(
             self._seed,
-            self._count,
-            sum(self._seen.statuses.values()),
-            dict(sorted(self._seen.statuses.items())),
+            self._instance_count,
+            sum(self._observations.statuses.values()),
+            dict(sorted(self._observations.statuses.items())),
             self._faults,
             self._timeline,
             broken,
@@ -383,13 +401,14 @@
 
 
 def run(seed, for_s, instances=6, callers=12, folder=None):
-    """Plays one soak.
+    """Runs one soak.
 
     Args:
-        seed: Seed of all choices; the timing of processes is their own.
-        for_s: Seconds with faults.
-        instances: Number of real processes.
-        callers: Number of callers.
+        seed: Seed of all random choices; the timing of the processes is not
+            reproducible.
+        for_s: Seconds for which faults are injected.
+        instances: Number of instance processes.
+        callers: Number of concurrent callers.
         folder: Folder for settings and logs, None for a temporary one.
 
     Returns:
@@ -398,6 +417,6 @@
     if folder is not None:
         soak = _Soak(seed, instances, callers, folder)
         return asyncio.run(soak.run(for_s))
-    with tempfile.TemporaryDirectory() as made:
-        soak = _Soak(seed, instances, callers, made)
+    with tempfile.TemporaryDirectory() as temporary:
+        soak = _Soak(seed, instances, callers, temporary)
         return asyncio.run(soak.run(for_s))
--- a/dandelionwinch/soak/_upstream.py
+++ b/dandelionwinch/soak/_upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams of the soak: they record each run and misbehave by seed."""
+"""Upstreams of the soak, which record executions and inject faults."""
 
 import asyncio
 
@@ -6,46 +6,58 @@
 
 from dandelionwinch.platform import samples
 
-EVENTS = 6
-WORK_S = 0.01
-FAULT_SHARE = 0.04
-# The entry's removal, the pause between watches, and an outage's hold.
+EVENTS_PER_STREAM = 6
+EXECUTION_S = 0.01
+FAULT_PROBABILITY = 0.04
+# Covers the removal of the entry, the delay between watches, and the time
+# for which an outage of the store holds deregistrations.
 DRAIN_S = 8.0
 FAULTS = ('lose', 'refuse', 'truncate', 'extra')
 
 
 @attrs.define
-class Record:
-    """What the upstreams of one soak have run.
+class ExecutionLog:
+    """The requests that the upstreams of one soak executed.
 
     Attributes:
-        runs: Runs of each request id.
-        late: Requests that reached an upstream long after it had left,
-            each with the time.
+        runs: Number of executions by request id.
+        late: Request id and time of each request that reached an upstream
+            more than DRAIN_S after its withdrawal.
     """
 
     runs: dict = attrs.Factory(dict)
     late: list = attrs.Factory(list)
 
-    def ran(self, request_id):
-        """Notes a run."""
+    def record_run(self, request_id):
+        """Records an execution."""
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
 
 
 class SoakUpstream:
-    """One upstream; streams for prompts, whole answers for the rest."""
+    """An upstream that streams for prompts and sends other bodies whole.
 
-    def __init__(self, upstream_id, record, rng):
+    Args:
+        upstream_id: Id of its entry in the store.
+        executions: ExecutionLog of the soak.
+        rng: Random generator that selects the faults.
+
+    Attributes:
+        withdrawn_at: When its entry was marked as draining or removed, None
+            while it serves.
+        proxy: The Proxy in front of it.
+    """
+
+    def __init__(self, upstream_id, executions, rng):
         self.id = upstream_id
-        self._record = record
+        self._executions = executions
         self._rng = rng
         self._server = None
         self.address = ''
-        self.left_at = None
+        self.withdrawn_at = None
         self.proxy = None
 
     async def start(self):
-        """Listens on a port that the system chooses."""
+        """Starts to listen on a free port."""
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f'{host}:{port}'
@@ -56,21 +68,21 @@
 
     async def _serve(self, reader, writer):
         try:
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         except (
             OSError,
             asyncio.IncompleteReadError,
             asyncio.CancelledError,
         ):
-            # The caller has left, or the soak ends.
+            # The instance closed the connection, or the soak ends.
             pass
         finally:
             writer.close()
 
-    async def _one(self, reader, writer):
+    async def _serve_request(self, reader, writer):
         head = (await reader.readuntil(b'\r\n\r\n')).decode('latin-1')
-        _first, *lines = head.strip().split('\r\n')
+        _request_line, *lines = head.strip().split('\r\n')
         headers = dict(line.split(': ', 1) for line in lines)
         headers = {name.lower(): value for name, value in headers.items()}
         await reader.readexactly(int(headers.get('content-length', 0)))
@@ -78,29 +90,29 @@
         if headers[samples.TARGET] != self.id:
             writer.write(samples.refusal('421 Misdirected Request'))
             return True
-        self._note_late(request_id)
+        self._record_if_late(request_id)
         fault = ''
-        if self._rng.random() < FAULT_SHARE:
+        if self._rng.random() < FAULT_PROBABILITY:
             fault = self._rng.choice(FAULTS)
         if fault == 'refuse':
             writer.write(samples.refusal())
             return True
-        self._record.ran(request_id)
-        await asyncio.sleep(WORK_S)
+        self._executions.record_run(request_id)
+        await asyncio.sleep(EXECUTION_S)
         if fault == 'lose':
             writer.transport.abort()
             return False
         if samples.TOKEN_USAGE in headers:
-            return await self._stream(writer, headers, fault)
-        return self._whole(writer, request_id, fault)
+            return await self._send_stream(writer, headers, fault)
+        return self._send_whole(writer, request_id, fault)
 
-    def _note_late(self, request_id):
+    def _record_if_late(self, request_id):
         now = asyncio.get_running_loop().time()
-        if self.left_at is not None and now - self.left_at > DRAIN_S:
-            self._record.late.append((request_id, now))
+        if self.withdrawn_at is not None and now - self.withdrawn_at > DRAIN_S:
+            self._executions.late.append((request_id, now))
 
     @staticmethod
-    def _whole(writer, request_id, fault):
+    def _send_whole(writer, request_id, fault):
         body = f'answer to {request_id}'.encode()
         data = (
             samples.response_head(request_id, f'Content-Length: {len(body)}')
@@ -113,18 +125,18 @@
         return True
 
     @staticmethod
-    async def _stream(writer, headers, fault):
+    async def _send_stream(writer, headers, fault):
         request_id = headers[samples.REQUEST_ID]
         first = int(headers.get(samples.LAST_EVENT_ID, 0)) + 1
         writer.write(
             samples.response_head(request_id, 'Transfer-Encoding: chunked')
         )
-        for number in range(first, EVENTS + 1):
+        for number in range(first, EVENTS_PER_STREAM + 1):
             data = f'id: {number}\ndata: {request_id}\n\n'.encode()
-            if fault == 'truncate' and number == EVENTS // 2:
+            if fault == 'truncate' and number == EVENTS_PER_STREAM // 2:
                 writer.write(b'%x\r\n%b' % (len(data), data[:5]))
                 return False
             writer.write(b'%x\r\n%b\r\n' % (len(data), data))
-            await asyncio.sleep(WORK_S)
+            await asyncio.sleep(EXECUTION_S)
         writer.write(b'0\r\n\r\n')
         return True
