--- a/dandelionwinch/gateway/__init__.py
+++ b/dandelionwinch/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The data path: callers' requests to upstreams on one event loop."""
+"""Data path: forwards requests of callers to upstreams, on one loop."""
 
 from dandelionwinch.gateway._codec import BadMessage
 from dandelionwinch.gateway._codec import Head
@@ -7,10 +7,10 @@
 from dandelionwinch.gateway._connection import read_response
 from dandelionwinch.gateway._fleet import Fleet
 from dandelionwinch.gateway._gateway import Gateway
-from dandelionwinch.gateway._inquiry import AttemptParams
-from dandelionwinch.gateway._inquiry import CallerRequest
-from dandelionwinch.gateway._inquiry import ReplyHeaders
-from dandelionwinch.gateway._inquiry import WireCodec
+from dandelionwinch.gateway._messages import AttemptParams
+from dandelionwinch.gateway._messages import CallerRequest
+from dandelionwinch.gateway._messages import ReplyHeaders
+from dandelionwinch.gateway._messages import WireCodec
 from dandelionwinch.gateway._pool import NotConnected
 from dandelionwinch.gateway._pool import Pool
 from dandelionwinch.gateway._server import Server
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -74,7 +74,7 @@
             _parse_int(head.header(LAST_EVENT_ID)),
         )
 
-    def upstream_headers(self, req, params):
+    def request_headers(self, req, params):
         """Returns the headers of a request to an upstream, as pairs.
 
         Args:
@@ -102,7 +102,7 @@
             bool(head.header(SIGNATURE)),
         )
 
-    def parse_kv_handle(self, body):
+    def kv_handle(self, body):
         """Returns the KV cache handle in a prefill response, or ''."""
         try:
             value = json.loads(body)
