--- a/dandelionwinch/control/_order_sender.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -42,7 +42,7 @@
 
         Args:
             upstream: The engine.
-            change: The RoleOrder.
+            change: The RoleChange.
             token: Fencing token.
             may_order: Function that returns whether an order may be sent.
 
--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -9,7 +9,7 @@
 from dandelionwinch.dispatch._prompts import Prompt
 from dandelionwinch.dispatch._rate_limiter import RateLimiter
 from dandelionwinch.dispatch._roles import plan_role
-from dandelionwinch.dispatch._roles import RoleOrder
+from dandelionwinch.dispatch._roles import RoleChange
 
 __all__ = [
     'HANDOVER_PRIORITY',
@@ -19,7 +19,7 @@
     'PriorityClass',
     'Prompt',
     'RateLimiter',
-    'RoleOrder',
+    'RoleChange',
     'choose_plain',
     'plan_role',
 ]
--- a/dandelionwinch/dispatch/_roles.py
+++ b/dandelionwinch/dispatch/_roles.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class RoleOrder:
+class RoleChange:
     """An engine and the role that it is to change to."""
 
     upstream_id: str
@@ -29,7 +29,7 @@
         decodes: Peak number of concurrent long answers.
 
     Returns:
-        A RoleOrder, or None if no change is needed.
+        A RoleChange, or None if no change is needed.
     """
     centres = {}
     for engine in engines:
@@ -38,7 +38,7 @@
         prefill = [e for e in group if _is_prefill(e)]
         decode_count = len(group) - len(prefill)
         if prefill and (not decode_count or len(prefill) > decode_count + 1):
-            return RoleOrder(_least_busy(prefill), upstreams.Role.DECODE)
+            return RoleChange(_least_busy(prefill), upstreams.Role.DECODE)
     decode = [e for e in engines if not _is_prefill(e)]
     if not _has_spare_slots(decode, decodes):
         return None
@@ -46,7 +46,7 @@
         prefill = [e for e in group if _is_prefill(e)]
         if len(prefill) < len(group) // 2:
             candidates = [e for e in group if not _is_prefill(e)]
-            return RoleOrder(_least_busy(candidates), upstreams.Role.PREFILL)
+            return RoleChange(_least_busy(candidates), upstreams.Role.PREFILL)
     return None
 
 
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -115,7 +115,7 @@
         """Builds the request that carries a role order to an engine.
 
         Args:
-            role_order: RoleOrder.
+            role_order: RoleChange.
             holder: Name of the instance that holds the order lease.
             token: Fencing token.
             sequence: Number of orders that the engine must have accepted.
