--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -168,21 +168,21 @@
         now = self._loop.time()
         if now < self._next_order_at or not self._may_order():
             return
-        change = self._plan_role_change(now)
-        if change is None:
+        role_change = self._plan_role_change(now)
+        if role_change is None:
             return
         self._next_order_at = now + SETTLE_S
-        upstream = self._gateway.fleet.registry.get(change.upstream_id)
+        upstream = self._gateway.fleet.registry.get(role_change.upstream_id)
         await self._store.put(
-            ROLE_CHANGE_PREFIX + change.upstream_id,
-            change.role.value.encode(),
+            ROLE_CHANGE_PREFIX + role_change.upstream_id,
+            role_change.role.value.encode(),
             self._lease,
         )
-        self._gateway.begin_role_change(change.upstream_id, ROLE_CHANGE_S)
+        self._gateway.begin_role_change(role_change.upstream_id, ROLE_CHANGE_S)
         await asyncio.sleep(ANNOUNCE_WAIT_S)
         await self._renew()
         if self._gateway.fleet.registry.serves(upstream):
-            await self._send(upstream, change)
+            await self._send(upstream, role_change)
         self._next_order_at = self._loop.time() + SETTLE_S
 
     def _plan_role_change(self, now):
@@ -195,21 +195,21 @@
                 for upstream in fleet.registry.serving(service.name)
                 if upstream.role_change_until <= now
             ]
-            change = dispatch.plan_role(
+            role_change = dispatch.plan_role(
                 engines, self._gateway.placer.peak_decodes(now)
             )
-            if change is not None:
-                return change
+            if role_change is not None:
+                return role_change
         return None
 
-    async def _send(self, upstream, change):
+    async def _send(self, upstream, role_change):
         sent = await self._sender.send(
-            upstream, change, self._leadership.token, self._may_order
+            upstream, role_change, self._leadership.token, self._may_order
         )
         self._log.event(
             'orders.sent',
-            upstream=change.upstream_id,
-            role=change.role.value,
+            upstream=role_change.upstream_id,
+            role=role_change.role.value,
             token=self._leadership.token,
             status=sent.status,
             reason=sent.reason,
--- a/dandelionwinch/control/_order_sender.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -37,12 +37,12 @@
         self._wire_codec = wire_codec
         self._name = name
 
-    async def send(self, upstream, change, token, may_order):
+    async def send(self, upstream, role_change, token, may_order):
         """Sends an order that is valid only for the engine's current state.
 
         Args:
             upstream: The engine.
-            change: The RoleChange.
+            role_change: The RoleChange.
             token: Fencing token.
             may_order: Function that returns whether an order may be sent.
 
@@ -52,13 +52,13 @@
         pool = self._fleet.pool(upstream)
         try:
             accepted_count = await self._fetch_accepted_count(
-                pool, change.upstream_id
+                pool, role_change.upstream_id
             )
             if accepted_count is None:
                 return Sent(0, 'the engine is busy')
             request = gateway.request_bytes(
                 *self._wire_codec.order_request(
-                    change, self._name, token, accepted_count
+                    role_change, self._name, token, accepted_count
                 )
             )
             conn = await pool.acquire(ORDER_TIMEOUT_S)
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -111,11 +111,11 @@
         handle = value.get('kvHandle') if isinstance(value, dict) else None
         return handle if isinstance(handle, str) else ''
 
-    def order_request(self, role_order, holder, token, sequence):
+    def order_request(self, role_change, holder, token, sequence):
         """Builds the request that carries a role order to an engine.
 
         Args:
-            role_order: RoleChange.
+            role_change: RoleChange.
             holder: Name of the instance that holds the order lease.
             token: Fencing token.
             sequence: Number of orders that the engine must have accepted.
@@ -125,7 +125,7 @@
         """
         body = {
             'op': 'phase',
-            'phase': role_order.role.value,
+            'phase': role_change.role.value,
             'holder': holder,
             'fencingToken': token,
             'precondition': sequence,
@@ -133,7 +133,7 @@
         headers = [
             ('Host', 'engine'),
             ('Content-Type', 'application/json'),
-            (TARGET, role_order.upstream_id),
+            (TARGET, role_change.upstream_id),
         ]
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
