--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -70,10 +70,8 @@
         return nearby[name]
 
     def _request(self, query):
-        quarantined = self._core.scheduler.estimates.quarantined(
-            self._core.now()
-        )
-        excluded = sorted(query.exclude | set(quarantined))
+        ejected = self._core.scheduler.estimates.ejected(self._core.now())
+        excluded = sorted(query.exclude | set(ejected))
         return peer_pb2.PlaceRequest(
             model=query.model,
             prompt_tokens=query.prompt_tokens,
--- a/dandelionwinch/placement/_load.py
+++ b/dandelionwinch/placement/_load.py
@@ -6,8 +6,8 @@
 
 from dandelionwinch import settings
 
-FIRST_QUARANTINE_S = 0.5
-MAX_QUARANTINE_S = 15.0
+INITIAL_EJECT_S = 0.5
+MAX_EJECT_S = 15.0
 # Part of the prefill rate that chunked prefill beside decodes reaches.
 CHUNK_EFFICIENCY = 0.8
 # Parts of the allowed token gap and of the largest batch that are used.
@@ -72,16 +72,16 @@
     sent: collections.deque = attrs.field(factory=collections.deque)
     sent_decodes: int = 0
     sent_kv_tokens: float = 0.0
-    quarantined_until: float = float('-inf')
+    ejected_until: float = float('-inf')
     failures: int = 0
     held: bool = False
 
     def usable(self, now):
         """Tells whether new work may be placed here."""
-        return self.allowed() and now >= self.quarantined_until
+        return self.allowed() and now >= self.ejected_until
 
     def allowed(self):
-        """Tells whether work may be placed here, quarantine apart."""
+        """Tells whether work may be placed here, ejection apart."""
         away = self.report is not None and self.report.away
         return not (self.held or away)
 
@@ -190,7 +190,7 @@
                 upstream.sent = present.sent
                 upstream.sent_decodes = present.sent_decodes
                 upstream.sent_kv_tokens = present.sent_kv_tokens
-                upstream.quarantined_until = present.quarantined_until
+                upstream.ejected_until = present.ejected_until
                 upstream.failures = present.failures
                 upstream.held = present.held
                 if present.report is not None:
@@ -231,23 +231,23 @@
                 _Sent(now, prefill_tokens, kv_tokens, decodes)
             )
 
-    def quarantined(self, now):
-        """Returns the names of the upstreams in quarantine."""
+    def ejected(self, now):
+        """Returns the names of the upstreams that are ejected."""
         return [
             name
             for name, estimate in self._by_name.items()
-            if estimate.quarantined_until > now
+            if estimate.ejected_until > now
         ]
 
     def failed(self, name, now):
-        """Quarantines a failed upstream, with exponential backoff."""
+        """Ejects a failed upstream, with exponential backoff."""
         estimate = self._by_name.get(name)
         if estimate is None:
             return
-        wait_s = FIRST_QUARANTINE_S * 2**estimate.failures
+        wait_s = INITIAL_EJECT_S * 2**estimate.failures
         estimate.failures = min(estimate.failures + 1, 10)
-        wait_s = min(wait_s, MAX_QUARANTINE_S)
-        estimate.quarantined_until = now + wait_s
+        wait_s = min(wait_s, MAX_EJECT_S)
+        estimate.ejected_until = now + wait_s
 
 
 def _is_plausible(estimate, report):
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -217,8 +217,8 @@
             and estimate.name not in demand.exclude
             and estimate.allowed()
         ]
-        # Quarantined upstreams are used only if there is no other.
-        usable = [e for e in allowed if now >= e.quarantined_until]
+        # Ejected upstreams are used only if there is no other.
+        usable = [e for e in allowed if now >= e.ejected_until]
         return usable or allowed
 
     def _peer_rate(self, pool):
