--- a/dandelionwinch/upstreams/_registry.py
+++ b/dandelionwinch/upstreams/_registry.py
@@ -7,7 +7,7 @@
 # Gains of the moving averages of failures and of excess latency.
 FAILURE_GAIN = 0.2
 EJECT_FAILURE_RATIO = 0.5
-EJECT_S = 1.0
+INITIAL_EJECT_S = 1.0
 EJECT_GROWTH_FACTOR = 1.5
 MAX_EJECT_S = 8.0
 MAX_EJECTED_RATIO = 0.5
@@ -99,7 +99,7 @@
         if self.ejected_until > now:
             return
         span_s = min(
-            MAX_EJECT_S, EJECT_S * EJECT_GROWTH_FACTOR**self.ejections
+            MAX_EJECT_S, INITIAL_EJECT_S * EJECT_GROWTH_FACTOR**self.ejections
         )
         self.ejected_until = now + span_s
         self.ejections += 1
