--- a/dandelionwinch/bench/_simulation.py
+++ b/dandelionwinch/bench/_simulation.py
@@ -16,7 +16,7 @@
 
 REPORT_PERIOD_S = 0.5
 PLAN_PERIOD_S = 1.0
-HANDOVER_S = 0.005
+KV_TRANSFER_S = 0.005
 SAMPLE_PERIOD_S = 10.0
 MAX_ATTEMPTS = 4
 RETRY_DELAY_S = 0.2
@@ -196,7 +196,7 @@
         if state.decode_upstream == engine.number:
             engine.add_decode(state)
             return
-        self._schedule_after(HANDOVER_S, self._hand_over, state)
+        self._schedule_after(KV_TRANSFER_S, self._hand_over, state)
 
     def _hand_over(self, state):
         engine = None
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -22,8 +22,8 @@
 
 # Costs of decoding at an engine, in seconds. That of an active request is
 # the range of the random tie-breaker, too.
-HANDOVER_S = 0.004
-FAR_HANDOVER_S = 0.03
+KV_TRANSFER_S = 0.004
+FAR_KV_TRANSFER_COST_S = 0.03
 ACTIVE_REQUEST_S = 0.002
 FAILURE_S = 0.2
 # Part of the round trip that counts for short prompts.
@@ -255,7 +255,7 @@
         if chosen.entry.role is upstreams.Role.PREFILL:
             prefill = chosen
             decode = self._choose_decoder(chosen, groups, now)
-            expected_s += HANDOVER_S + self._round_trip_s(decode)
+            expected_s += KV_TRANSFER_S + self._round_trip_s(decode)
         return _prompts.Placement(
             prefill,
             decode,
@@ -305,7 +305,7 @@
         near = engine.entry.data_centre == prefill.entry.data_centre
         return (
             self._round_trip_s(engine)
-            + (0.0 if near else FAR_HANDOVER_S)
+            + (0.0 if near else FAR_KV_TRANSFER_COST_S)
             + self._delay_s(engine, now)
             + ACTIVE_REQUEST_S * engine.active
             + FAILURE_S * engine.failures
@@ -330,7 +330,7 @@
     def handed_over(self, placement, now):
         """Records that a prefilled prompt is sent to its decode engine."""
         decode = placement.decode
-        due_at = now + HANDOVER_S + self._round_trip_s(decode)
+        due_at = now + KV_TRANSFER_S + self._round_trip_s(decode)
         self._overdue.sent(decode.entry.id, placement, due_at)
         self._transfers.sent(placement, due_at)
 
@@ -377,7 +377,7 @@
         decode = placement.decode
         self._decode_responded(placement)
         if placement.prefill is not None:
-            expected_s = HANDOVER_S + self._round_trip_s(decode)
+            expected_s = KV_TRANSFER_S + self._round_trip_s(decode)
             excess_s = taken_s - expected_s
             decode.succeeded(excess_s, now)
             self._observe_transfer(placement, excess_s, now)
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -8,7 +8,7 @@
 from dandelionwinch import settings
 
 MAX_CANDIDATES = 16
-HANDOVER_S = 0.005
+KV_TRANSFER_S = 0.005
 # Part of its prefill rate below which an upstream gets no prompts.
 MIN_SPEED_RATIO = 0.05
 RATE_SPAN_S = 5.0
@@ -309,7 +309,7 @@
         if not decodes_here:
             pool = next(p for p in pools if estimate.name in p.upstreams)
             decode = self.choose_decode(demand, pool, now, first_s) or ''
-            first_s += HANDOVER_S
+            first_s += KV_TRANSFER_S
         terms = (
             f'wait {option.wait_s:.3f} s, prefill {option.prefill_s:.3f} s, '
             f'distance {option.link_cost_s:.3f} s, '
