--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -104,7 +104,7 @@
         self._submit(
             placement.decode,
             _engine.Stage.DECODE,
-            dispatch.HANDOVER_PRIORITY,
+            dispatch.PREFILLED_PRIORITY,
             now,
             self._simulation.engines[placement.prefill.entry.id],
         )
--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -3,7 +3,7 @@
 from dandelionwinch.dispatch._distance import Distances
 from dandelionwinch.dispatch._engines import EnginePlacer
 from dandelionwinch.dispatch._plain import choose_plain
-from dandelionwinch.dispatch._prompts import HANDOVER_PRIORITY
+from dandelionwinch.dispatch._prompts import PREFILLED_PRIORITY
 from dandelionwinch.dispatch._prompts import Placement
 from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Prompt
@@ -12,7 +12,7 @@
 from dandelionwinch.dispatch._roles import RoleChange
 
 __all__ = [
-    'HANDOVER_PRIORITY',
+    'PREFILLED_PRIORITY',
     'Distances',
     'EnginePlacer',
     'Placement',
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -24,7 +24,7 @@
 
 # Priorities at the engine, from 0 (first) to 9. A prompt that another
 # engine has prefilled occupies its engine for the shortest time.
-HANDOVER_PRIORITY = 1
+PREFILLED_PRIORITY = 1
 PRIORITIES = {PriorityClass.ANSWER: 2, PriorityClass.URGENT: 5}
 LATE_PRIORITY = 6
 BACKGROUND_SIZES_TOKENS = (1500, 4000)
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -148,7 +148,7 @@
         pool, conn = await self._begin_attempt(upstream)
         priority = placement.priority
         if kv_source:
-            priority = dispatch.HANDOVER_PRIORITY
+            priority = dispatch.PREFILLED_PRIORITY
             self._gateway.placer.handed_over(placement, self._loop.time())
         params = self._params(upstream, kv_source=kv_source, priority=priority)
         async with self._open_exchange(upstream, pool, conn) as exchange:
