--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -254,11 +254,11 @@
         if previous is None or (
             previous.ready,
             previous.role,
-            previous.born,
+            previous.started_at_ms,
         ) != (
             entry.ready,
             entry.role,
-            entry.born,
+            entry.started_at_ms,
         ):
             self._log.event(
                 'upstream.changed',
@@ -267,7 +267,7 @@
                 data_centre=entry.data_centre,
                 ready=entry.ready,
                 role=entry.role.value,
-                born=entry.born,
+                born=entry.started_at_ms,
                 revision=item.revision,
             )
 
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -40,7 +40,7 @@
     def pool(self, upstream):
         """Returns the connection pool of one incarnation of an upstream."""
         entry = upstream.entry
-        key = (entry.id, entry.born, entry.address)
+        key = (entry.id, entry.started_at_ms, entry.address)
         pool = self._pools.get(key)
         limit = self._connection_limit(entry.service)
         if pool is None:
@@ -60,7 +60,7 @@
         """Closes idle connections and those to deregistered upstreams."""
         self.registry.forget(now, FORGET_UPSTREAM_AFTER_S)
         serving = {
-            (u.entry.id, u.entry.born, u.entry.address)
+            (u.entry.id, u.entry.started_at_ms, u.entry.address)
             for u in self.registry
             if u.gone_at is None
         }
--- a/dandelionwinch/upstreams/_registry.py
+++ b/dandelionwinch/upstreams/_registry.py
@@ -29,7 +29,7 @@
     """The entry of an upstream in the store, written by itself.
 
     Attributes:
-        born: Unix millisecond of its start, 0 if not stated.
+        started_at_ms: Unix millisecond of its start, 0 if not stated.
         ready: Whether it accepts new requests.
     """
 
@@ -37,7 +37,7 @@
     service: str
     address: str
     data_centre: str
-    born: int
+    started_at_ms: int
     ready: bool
     role: Role
     slots: int
@@ -126,7 +126,7 @@
         upstream = self._by_id.get(entry.id)
         same = (
             upstream is not None
-            and upstream.entry.born == entry.born
+            and upstream.entry.started_at_ms == entry.started_at_ms
             and upstream.entry.address == entry.address
         )
         if same:
