--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -188,7 +188,7 @@
             ACTIVE_REQUEST_S * engine.active
             + self._delay_s(engine, now)
             + self._round_trip_s(engine) * ROUND_TRIP_RATIO
-            + FAILURE_S * engine.failures
+            + FAILURE_S * engine.failure_rate
             + self._rng.random() * ACTIVE_REQUEST_S
         )
 
@@ -308,7 +308,7 @@
             + (0.0 if near else FAR_KV_TRANSFER_COST_S)
             + self._delay_s(engine, now)
             + ACTIVE_REQUEST_S * engine.active
-            + FAILURE_S * engine.failures
+            + FAILURE_S * engine.failure_rate
             + self._rng.random() * ACTIVE_REQUEST_S
         )
 
--- a/dandelionwinch/dispatch/_plain.py
+++ b/dandelionwinch/dispatch/_plain.py
@@ -34,7 +34,7 @@
         return (
             distances.round_trip_s(upstream.entry.data_centre)
             + ACTIVE_REQUEST_S * upstream.active
-            + FAILURE_S * upstream.failures
+            + FAILURE_S * upstream.failure_rate
             + upstream.recent_excess_s(now)
             + rng.random() * ACTIVE_REQUEST_S
         )
--- a/dandelionwinch/upstreams/_registry.py
+++ b/dandelionwinch/upstreams/_registry.py
@@ -50,7 +50,7 @@
 
     Attributes:
         gone_at: When its entry vanished, None while it is there.
-        failures: Moving average of failed attempts, 0 to 1.
+        failure_rate: Moving average of failed attempts, 0 to 1.
         excess_s: Moving average of the latency in excess of the expected.
         active: Requests of this instance that are in flight.
         role_change_until: Time up to which its role may be changing.
@@ -61,7 +61,7 @@
 
     entry: Entry
     gone_at: float | None = None
-    failures: float = 0.0
+    failure_rate: float = 0.0
     excess_s: float = 0.0
     active: int = 0
     role_change_until: float = 0.0
@@ -76,10 +76,10 @@
             excess_s: Latency in excess of the expected.
             now: Time in seconds.
         """
-        self.failures -= FAILURE_GAIN * self.failures
+        self.failure_rate -= FAILURE_GAIN * self.failure_rate
         self.excess_s += LATENCY_GAIN * (excess_s - self.excess_s)
         self.observed_at = now
-        if self.failures < FAILURE_GAIN / 2:
+        if self.failure_rate < FAILURE_GAIN / 2:
             self.ejections = 0
 
     def recent_excess_s(self, now):
@@ -89,9 +89,9 @@
 
     def failed(self, now):
         """Records a failed attempt; ejects the upstream after many."""
-        self.failures += FAILURE_GAIN * (1.0 - self.failures)
+        self.failure_rate += FAILURE_GAIN * (1.0 - self.failure_rate)
         self.observed_at = now
-        if self.failures >= EJECT_FAILURE_RATIO:
+        if self.failure_rate >= EJECT_FAILURE_RATIO:
             self.eject(now)
 
     def eject(self, now):
@@ -104,7 +104,7 @@
         self.ejected_until = now + span_s
         self.ejections += 1
         # Below the limit, but one more failure ejects it again.
-        self.failures = EJECT_FAILURE_RATIO - FAILURE_GAIN / 2
+        self.failure_rate = EJECT_FAILURE_RATIO - FAILURE_GAIN / 2
 
 
 class Registry:
