--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -341,7 +341,7 @@
 
     def failed(self, number, now):
         for estimates in self._estimates:
-            estimates.failed(str(number), now)
+            estimates.record_failure(str(number), now)
 
     def set_held(self, number, held):
         for estimates in self._estimates:
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -126,7 +126,7 @@
         self._reports[message.upstream] = _StoredReport(made_at, message)
         estimates = self._core.scheduler.estimates
         if message.failed:
-            estimates.failed(message.upstream, self._core.now())
+            estimates.record_failure(message.upstream, self._core.now())
             return
         if message.role not in set(settings.Role):
             return
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -288,7 +288,7 @@
         """Records a failure of an upstream and starts its backoff."""
         core = self._core
         now = core.now()
-        self.estimates.failed(message.upstream, now)
+        self.estimates.record_failure(message.upstream, now)
         core.load_reports.back_off(message.upstream, now)
         record = self.job_history.get(message.job_id)
         if record is not None:
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -336,7 +336,7 @@
 
     def handle_refused(self, placement, now):
         """Records that a decode engine refused the handle of a prefill."""
-        placement.prefill.failed(now)
+        placement.prefill.record_failure(now)
         self._decode_responded(placement)
 
     def _decode_responded(self, placement):
@@ -379,7 +379,7 @@
         if placement.prefill is not None:
             expected_s = KV_TRANSFER_S + self._round_trip_s(decode)
             excess_s = taken_s - expected_s
-            decode.succeeded(excess_s, now)
+            decode.record_success(excess_s, now)
             self._observe_transfer(placement, excess_s, now)
             return
         self._observe(decode, placement, taken_s, placement.expected_s, now)
@@ -397,10 +397,10 @@
         Only prompts of the class URGENT update the rates.
         """
         if placement.priority_class is _prompts.PriorityClass.BACKGROUND:
-            engine.succeeded(engine.excess_s, now)
+            engine.record_success(engine.excess_s, now)
             return
         excess_s = taken_s - expected_s
-        engine.succeeded(excess_s, now)
+        engine.record_success(excess_s, now)
         if placement.priority_class is _prompts.PriorityClass.ANSWER:
             return
         self._prefill_rates.observe(
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -196,7 +196,7 @@
         if not self._streaming:
             self._caller.start_stream(200, head.end_to_end())
         self._caller.end_stream()
-        placement.decode.succeeded(
+        placement.decode.record_success(
             placement.decode.excess_s, self._loop.time()
         )
         self.outcome = 'whole'
--- a/dandelionwinch/gateway/_request_handler.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -219,7 +219,7 @@
         excess_s = self._fleet.latency_baseline.excess_s(
             self._service, service_s
         )
-        upstream.succeeded(excess_s, now)
+        upstream.record_success(excess_s, now)
         if retryable:
             raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.FAILED,
@@ -270,7 +270,7 @@
             raise self._not_sent(upstream, str(exc)) from exc
         except _pool.NotConnected as exc:
             now = self._loop.time()
-            upstream.failed(now)
+            upstream.record_failure(now)
             upstream.eject(now)
             raise self._not_sent(upstream, str(exc)) from exc
         if not self._fleet.registry.serves(upstream):
@@ -333,7 +333,7 @@
             pool.discard(conn)
             outcome = getattr(exc, 'outcome', None)
             if outcome is attempts.AttemptOutcome.UNKNOWN:
-                upstream.failed(self._loop.time())
+                upstream.record_failure(self._loop.time())
             raise
         finally:
             upstream.active -= 1
--- a/dandelionwinch/placement/_load.py
+++ b/dandelionwinch/placement/_load.py
@@ -239,7 +239,7 @@
             if estimate.ejected_until > now
         ]
 
-    def failed(self, name, now):
+    def record_failure(self, name, now):
         """Ejects a failed upstream, with exponential backoff."""
         estimate = self._by_name.get(name)
         if estimate is None:
--- a/dandelionwinch/upstreams/_registry.py
+++ b/dandelionwinch/upstreams/_registry.py
@@ -69,7 +69,7 @@
     ejections: int = 0
     observed_at: float = 0.0
 
-    def succeeded(self, excess_s, now):
+    def record_success(self, excess_s, now):
         """Records a successful attempt.
 
         Args:
@@ -87,7 +87,7 @@
         fresh = max(0.0, 1.0 - (now - self.observed_at) / EXCESS_FADE_S)
         return max(0.0, self.excess_s) * fresh
 
-    def failed(self, now):
+    def record_failure(self, now):
         """Records a failed attempt; ejects the upstream after many."""
         self.failure_rate += FAILURE_GAIN * (1.0 - self.failure_rate)
         self.observed_at = now
