--- a/dandelionwinch/dispatch/_distance.py
+++ b/dandelionwinch/dispatch/_distance.py
@@ -1,6 +1,6 @@
 """Assumed round-trip times between data centres; none is measured."""
 
-SAME_CENTRE_S = 0.0005
+SAME_DATA_CENTRE_S = 0.0005
 SAME_REGION_S = 0.003
 CROSS_REGION_S = 0.025
 
@@ -17,7 +17,7 @@
     def round_trip_s(self, data_centre):
         """Returns the round trip to a data centre in seconds."""
         if data_centre == self._data_centre:
-            return SAME_CENTRE_S
+            return SAME_DATA_CENTRE_S
         region = self._regions.get(data_centre)
         if region and region == self._regions.get(self._data_centre):
             return SAME_REGION_S
--- a/dandelionwinch/dispatch/_groups.py
+++ b/dandelionwinch/dispatch/_groups.py
@@ -25,13 +25,13 @@
         prefill: Engines that may prefill long prompts.
         decode_only: Engines that are reserved for decoding.
         mixed: Engines that prefill prompts and decode their answers.
-        decode_centres: Data centres with an engine that decodes.
+        decode_data_centres: Data centres with an engine that decodes.
     """
 
     prefill: tuple
     decode_only: tuple
     mixed: tuple
-    decode_centres: frozenset
+    decode_data_centres: frozenset
 
     @property
     def decode(self):
@@ -40,7 +40,7 @@
 
     def has_local_decoder(self, engine):
         """Tells whether an engine in the same data centre decodes."""
-        return engine.entry.data_centre in self.decode_centres
+        return engine.entry.data_centre in self.decode_data_centres
 
     def preferred_decoders(self, engine):
         """Returns the engines to decode what another one has prefilled.
@@ -48,17 +48,17 @@
         These are the reserved ones in its data centre, else the mixed ones
         there, else all that decode.
         """
-        centre = engine.entry.data_centre
+        data_centre = engine.entry.data_centre
         for group in (self.decode_only, self.mixed):
-            local = [e for e in group if e.entry.data_centre == centre]
+            local = [e for e in group if e.entry.data_centre == data_centre]
             if local:
                 return local
         return list(self.decode)
 
     def local_decoders(self, engine):
         """Returns all decoding engines in the data centre of an engine."""
-        centre = engine.entry.data_centre
-        return [e for e in self.decode if e.entry.data_centre == centre]
+        data_centre = engine.entry.data_centre
+        return [e for e in self.decode if e.entry.data_centre == data_centre]
 
 
 def group_engines(usable):
@@ -79,20 +79,20 @@
     decode.sort(key=lambda e: _order(e.entry.id))
     unpaired = {}
     for engine in prefill:
-        centre = engine.entry.data_centre
-        unpaired[centre] = unpaired.get(centre, 0) + 1
+        data_centre = engine.entry.data_centre
+        unpaired[data_centre] = unpaired.get(data_centre, 0) + 1
     decode_only, mixed = [], []
     for engine in decode:
-        centre = engine.entry.data_centre
-        if unpaired.get(centre, 0) > 0:
-            unpaired[centre] -= 1
+        data_centre = engine.entry.data_centre
+        if unpaired.get(data_centre, 0) > 0:
+            unpaired[data_centre] -= 1
             decode_only.append(engine)
         else:
             mixed.append(engine)
     prefilling = prefill + mixed or decode
-    centres = frozenset(e.entry.data_centre for e in decode)
+    data_centres = frozenset(e.entry.data_centre for e in decode)
     return EngineGroups(
-        tuple(prefilling), tuple(decode_only), tuple(mixed), centres
+        tuple(prefilling), tuple(decode_only), tuple(mixed), data_centres
     )
 
 
--- a/dandelionwinch/dispatch/_roles.py
+++ b/dandelionwinch/dispatch/_roles.py
@@ -31,10 +31,10 @@
     Returns:
         A RoleChange, or None if no change is needed.
     """
-    centres = {}
+    data_centres = {}
     for engine in engines:
-        centres.setdefault(engine.entry.data_centre, []).append(engine)
-    for group in sorted(centres.values(), key=len, reverse=True):
+        data_centres.setdefault(engine.entry.data_centre, []).append(engine)
+    for group in sorted(data_centres.values(), key=len, reverse=True):
         prefill = [e for e in group if _is_prefill(e)]
         decode_count = len(group) - len(prefill)
         if prefill and (not decode_count or len(prefill) > decode_count + 1):
@@ -42,7 +42,7 @@
     decode = [e for e in engines if not _is_prefill(e)]
     if not _has_spare_slots(decode, decodes):
         return None
-    for group in sorted(centres.values(), key=len, reverse=True):
+    for group in sorted(data_centres.values(), key=len, reverse=True):
         prefill = [e for e in group if _is_prefill(e)]
         if len(prefill) < len(group) // 2:
             candidates = [e for e in group if not _is_prefill(e)]
--- a/dandelionwinch/tests/test_leadership.py
+++ b/dandelionwinch/tests/test_leadership.py
@@ -129,12 +129,12 @@
 @pytest.mark.parametrize(
     ('engines', 'decodes', 'order'),
     [
-        # Half of the engines of a data data_centre prefill.
+        # Half of the engines of a data centre prefill.
         ([('a1', 'a', DECODE), ('a2', 'a', DECODE)], 0, ('a1', PREFILL)),
         ([('a1', 'a', PREFILL), ('a2', 'a', DECODE)], 0, None),
         # A single engine both prefills and decodes.
         ([('a1', 'a', DECODE), ('b1', 'b', DECODE)], 0, None),
-        # A data data_centre with prefill engines only needs a decode engine.
+        # A data centre with prefill engines only needs a decode engine.
         (
             [('a1', 'a', PREFILL), ('a2', 'a', PREFILL), ('b1', 'b', DECODE)],
             0,
