--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -52,7 +52,7 @@
             self._refuse(now)
             return
         self._placement = placement
-        self._placer.sent(self._arrival.prompt, placement, now)
+        self._placer.record_sent(self._arrival.prompt, placement, now)
         placement.prefill_engine.active += 1
         self._simulation.schedule(now + remaining_s, self._expire)
         stage = _engine.Stage.PREFILL
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -318,7 +318,7 @@
     def _prefill_rate(self, engine):
         return self._prefill_rates.get(engine.entry)
 
-    def sent(self, prompt, placement, now):
+    def record_sent(self, prompt, placement, now):
         """Records that a prompt is sent to its first engine."""
         upstream_id = placement.prefill_engine.entry.id
         self._prefix_cache.sent(prompt, upstream_id, now)
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -39,7 +39,7 @@
         if placement is None:
             raise self._no_upstream()
         self._gateway.log_placement(self._req.id, placement)
-        self._gateway.placer.sent(prompt, placement, now)
+        self._gateway.placer.record_sent(prompt, placement, now)
         try:
             kv_source = ''
             if placement.prefill is not None:
