--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -98,7 +98,7 @@
             return
         placement = self._placement
         self._placer.prefilled(placement, now - self._sent_at, now)
-        self._placer.handed_over(placement, now)
+        self._placer.record_transfer(placement, now)
         placement.prefill_engine.active -= 1
         placement.decode.active += 1
         self._submit(
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -327,7 +327,7 @@
             self._overdue.sent(upstream_id, placement, due_at)
         self._in_flight.sent(placement, now)
 
-    def handed_over(self, placement, now):
+    def record_transfer(self, placement, now):
         """Records that a prefilled prompt is sent to its decode engine."""
         decode = placement.decode
         due_at = now + KV_TRANSFER_S + self._round_trip_s(decode)
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -149,7 +149,7 @@
         priority = placement.priority
         if kv_source:
             priority = dispatch.PREFILLED_PRIORITY
-            self._gateway.placer.handed_over(placement, self._loop.time())
+            self._gateway.placer.record_transfer(placement, self._loop.time())
         params = self._params(upstream, kv_source=kv_source, priority=priority)
         async with self._open_exchange(upstream, pool, conn) as exchange:
             await self._relay_stream(exchange, params, placement, started_at)
