--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -334,7 +334,7 @@
         self._overdue.sent(decode.entry.id, placement, due_at)
         self._transfers.sent(placement, due_at)
 
-    def handle_refused(self, placement, now):
+    def record_kv_handle_refused(self, placement, now):
         """Records that a decode engine refused the handle of a prefill."""
         placement.prefill.record_failure(now)
         self._decode_responded(placement)
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -139,7 +139,7 @@
             self._attempt_outcomes.append(exc.outcome)
             self._log_attempt(exc)
             now = self._loop.time()
-            self._gateway.placer.handle_refused(placement, now)
+            self._gateway.placer.record_kv_handle_refused(placement, now)
             direct = attrs.evolve(placement, prefill=None)
             await self._decode_at(direct, '', now)
 
