--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -152,7 +152,7 @@
         if self._engine_req.stage is _engine.Stage.DECODE:
             upstream = placement.decode
         upstream.active -= 1
-        self._placer.ended(placement)
+        self._placer.record_end(placement)
 
     def _refuse(self, now):
         """Schedules the one retry of the caller, or counts a refusal."""
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -344,7 +344,7 @@
         self._overdue.done(placement.decode.entry.id, placement)
         self._transfers.done(placement)
 
-    def ended(self, placement):
+    def record_end(self, placement):
         """Records that a request has ended at its engines."""
         self._overdue.done(placement.prefill_engine.entry.id, placement)
         self._decode_responded(placement)
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -52,7 +52,7 @@
                 placement = self._with_serving_decoder(placement)
             await self._decode(placement, kv_source, now)
         finally:
-            self._gateway.placer.ended(placement)
+            self._gateway.placer.record_end(placement)
 
     def _missed_objective(self):
         """Tells whether the latency objective can no longer be met.
