--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -97,7 +97,7 @@
         if self._ended:
             return
         placement = self._placement
-        self._placer.prefilled(placement, now - self._sent_at, now)
+        self._placer.record_prefill(placement, now - self._sent_at, now)
         self._placer.record_transfer(placement, now)
         placement.prefill_engine.active -= 1
         placement.decode.active += 1
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -350,7 +350,7 @@
         self._decode_responded(placement)
         self._in_flight.ended(placement)
 
-    def prefilled(self, placement, taken_s, now):
+    def record_prefill(self, placement, taken_s, now):
         """Records a prefill whose answer another engine decodes.
 
         Args:
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -46,7 +46,7 @@
                 kv_source = await self._prefill(placement)
                 started_at, now = now, self._loop.time()
                 self.prefill_s = now - started_at
-                self._gateway.placer.prefilled(
+                self._gateway.placer.record_prefill(
                     placement, now - started_at, now
                 )
                 placement = self._with_serving_decoder(placement)
