--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -113,7 +113,9 @@
         if self._ended:
             return
         self._first_at = now
-        self._placer.started(self._placement, now - self._sent_at, now)
+        self._placer.record_first_token(
+            self._placement, now - self._sent_at, now
+        )
 
     def _complete(self, longest_s, now):
         if self._ended:
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -366,7 +366,7 @@
         )
         self._observe(engine, placement, taken_s, expected_s, now)
 
-    def started(self, placement, taken_s, now):
+    def record_first_token(self, placement, taken_s, now):
         """Records the first token of an answer and its delay.
 
         Args:
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -226,7 +226,9 @@
     def _record_first_event(self, placement, started_at):
         now = self._loop.time()
         self.first_event_s = self.first_event_s or now - self._started_at
-        self._gateway.placer.started(placement, now - started_at, now)
+        self._gateway.placer.record_first_token(
+            placement, now - started_at, now
+        )
 
     async def _handle_error(self, exchange, head, upstream, idle_timeout_s):
         """Relays an error response, unless a stream has begun already."""
