--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -417,7 +417,7 @@
             now,
         )
 
-    def token_gap(self, placement, gap_s, allowed_s, now):
+    def record_token_gap(self, placement, gap_s, allowed_s, now):
         """Slows down the prompts of an engine after a long token gap.
 
         Args:
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -181,7 +181,7 @@
                     self._record_first_event(placement, started_at)
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
-                    self._gateway.placer.token_gap(
+                    self._gateway.placer.record_token_gap(
                         placement, now - last_at, self._route.event_gap_s, now
                     )
                 last_at = now
