--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -52,7 +52,7 @@
             self._refuse(now)
             return
         self._placement = placement
-        self._placer.sent(self._arrival.prompt, placement, now)
+        self._placer.record_sent(self._arrival.prompt, placement, now)
         placement.prefill_engine.active += 1
         self._simulation.schedule(now + remaining_s, self._expire)
         stage = _engine.Stage.PREFILL
@@ -97,14 +97,14 @@
         if self._ended:
             return
         placement = self._placement
-        self._placer.prefilled(placement, now - self._sent_at, now)
-        self._placer.handed_over(placement, now)
+        self._placer.record_prefill(placement, now - self._sent_at, now)
+        self._placer.record_transfer(placement, now)
         placement.prefill_engine.active -= 1
         placement.decode.active += 1
         self._submit(
             placement.decode,
             _engine.Stage.DECODE,
-            dispatch.HANDOVER_PRIORITY,
+            dispatch.PREFILLED_PRIORITY,
             now,
             self._simulation.engines[placement.prefill.entry.id],
         )
@@ -113,7 +113,9 @@
         if self._ended:
             return
         self._first_at = now
-        self._placer.started(self._placement, now - self._sent_at, now)
+        self._placer.record_first_token(
+            self._placement, now - self._sent_at, now
+        )
 
     def _complete(self, longest_s, now):
         if self._ended:
@@ -152,7 +154,7 @@
         if self._engine_req.stage is _engine.Stage.DECODE:
             upstream = placement.decode
         upstream.active -= 1
-        self._placer.ended(placement)
+        self._placer.record_end(placement)
 
     def _refuse(self, now):
         """Schedules the one retry of the caller, or counts a refusal."""
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -22,8 +22,8 @@
 
 # Costs of decoding at an engine, in seconds. That of an active request is
 # the range of the random tie-breaker, too.
-HANDOVER_S = 0.004
-FAR_HANDOVER_S = 0.03
+KV_TRANSFER_S = 0.004
+FAR_KV_TRANSFER_COST_S = 0.03
 ACTIVE_REQUEST_S = 0.002
 FAILURE_S = 0.2
 # Part of the round trip that counts for short prompts.
@@ -188,7 +188,7 @@
             ACTIVE_REQUEST_S * engine.active
             + self._delay_s(engine, now)
             + self._round_trip_s(engine) * ROUND_TRIP_RATIO
-            + FAILURE_S * engine.failures
+            + FAILURE_S * engine.failure_rate
             + self._rng.random() * ACTIVE_REQUEST_S
         )
 
@@ -255,7 +255,7 @@
         if chosen.entry.role is upstreams.Role.PREFILL:
             prefill = chosen
             decode = self._choose_decoder(chosen, groups, now)
-            expected_s += HANDOVER_S + self._round_trip_s(decode)
+            expected_s += KV_TRANSFER_S + self._round_trip_s(decode)
         return _prompts.Placement(
             prefill,
             decode,
@@ -305,10 +305,10 @@
         near = engine.entry.data_centre == prefill.entry.data_centre
         return (
             self._round_trip_s(engine)
-            + (0.0 if near else FAR_HANDOVER_S)
+            + (0.0 if near else FAR_KV_TRANSFER_COST_S)
             + self._delay_s(engine, now)
             + ACTIVE_REQUEST_S * engine.active
-            + FAILURE_S * engine.failures
+            + FAILURE_S * engine.failure_rate
             + self._rng.random() * ACTIVE_REQUEST_S
         )
 
@@ -318,7 +318,7 @@
     def _prefill_rate(self, engine):
         return self._prefill_rates.get(engine.entry)
 
-    def sent(self, prompt, placement, now):
+    def record_sent(self, prompt, placement, now):
         """Records that a prompt is sent to its first engine."""
         upstream_id = placement.prefill_engine.entry.id
         self._prefix_cache.sent(prompt, upstream_id, now)
@@ -327,16 +327,16 @@
             self._overdue.sent(upstream_id, placement, due_at)
         self._in_flight.sent(placement, now)
 
-    def handed_over(self, placement, now):
+    def record_transfer(self, placement, now):
         """Records that a prefilled prompt is sent to its decode engine."""
         decode = placement.decode
-        due_at = now + HANDOVER_S + self._round_trip_s(decode)
+        due_at = now + KV_TRANSFER_S + self._round_trip_s(decode)
         self._overdue.sent(decode.entry.id, placement, due_at)
         self._transfers.sent(placement, due_at)
 
-    def handle_refused(self, placement, now):
+    def record_kv_handle_refused(self, placement, now):
         """Records that a decode engine refused the handle of a prefill."""
-        placement.prefill.failed(now)
+        placement.prefill.record_failure(now)
         self._decode_responded(placement)
 
     def _decode_responded(self, placement):
@@ -344,13 +344,13 @@
         self._overdue.done(placement.decode.entry.id, placement)
         self._transfers.done(placement)
 
-    def ended(self, placement):
+    def record_end(self, placement):
         """Records that a request has ended at its engines."""
         self._overdue.done(placement.prefill_engine.entry.id, placement)
         self._decode_responded(placement)
         self._in_flight.ended(placement)
 
-    def prefilled(self, placement, taken_s, now):
+    def record_prefill(self, placement, taken_s, now):
         """Records a prefill whose answer another engine decodes.
 
         Args:
@@ -366,7 +366,7 @@
         )
         self._observe(engine, placement, taken_s, expected_s, now)
 
-    def started(self, placement, taken_s, now):
+    def record_first_token(self, placement, taken_s, now):
         """Records the first token of an answer and its delay.
 
         Args:
@@ -377,9 +377,9 @@
         decode = placement.decode
         self._decode_responded(placement)
         if placement.prefill is not None:
-            expected_s = HANDOVER_S + self._round_trip_s(decode)
+            expected_s = KV_TRANSFER_S + self._round_trip_s(decode)
             excess_s = taken_s - expected_s
-            decode.succeeded(excess_s, now)
+            decode.record_success(excess_s, now)
             self._observe_transfer(placement, excess_s, now)
             return
         self._observe(decode, placement, taken_s, placement.expected_s, now)
@@ -397,10 +397,10 @@
         Only prompts of the class URGENT update the rates.
         """
         if placement.priority_class is _prompts.PriorityClass.BACKGROUND:
-            engine.succeeded(engine.excess_s, now)
+            engine.record_success(engine.excess_s, now)
             return
         excess_s = taken_s - expected_s
-        engine.succeeded(excess_s, now)
+        engine.record_success(excess_s, now)
         if placement.priority_class is _prompts.PriorityClass.ANSWER:
             return
         self._prefill_rates.observe(
@@ -417,7 +417,7 @@
             now,
         )
 
-    def token_gap(self, placement, gap_s, allowed_s, now):
+    def record_token_gap(self, placement, gap_s, allowed_s, now):
         """Slows down the prompts of an engine after a long token gap.
 
         Args:
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -39,20 +39,20 @@
         if placement is None:
             raise self._no_upstream()
         self._gateway.log_placement(self._req.id, placement)
-        self._gateway.placer.sent(prompt, placement, now)
+        self._gateway.placer.record_sent(prompt, placement, now)
         try:
             kv_source = ''
             if placement.prefill is not None:
                 kv_source = await self._prefill(placement)
                 started_at, now = now, self._loop.time()
                 self.prefill_s = now - started_at
-                self._gateway.placer.prefilled(
+                self._gateway.placer.record_prefill(
                     placement, now - started_at, now
                 )
                 placement = self._with_serving_decoder(placement)
             await self._decode(placement, kv_source, now)
         finally:
-            self._gateway.placer.ended(placement)
+            self._gateway.placer.record_end(placement)
 
     def _missed_objective(self):
         """Tells whether the latency objective can no longer be met.
@@ -139,7 +139,7 @@
             self._attempt_outcomes.append(exc.outcome)
             self._log_attempt(exc)
             now = self._loop.time()
-            self._gateway.placer.handle_refused(placement, now)
+            self._gateway.placer.record_kv_handle_refused(placement, now)
             direct = attrs.evolve(placement, prefill=None)
             await self._decode_at(direct, '', now)
 
@@ -148,8 +148,8 @@
         pool, conn = await self._begin_attempt(upstream)
         priority = placement.priority
         if kv_source:
-            priority = dispatch.HANDOVER_PRIORITY
-            self._gateway.placer.handed_over(placement, self._loop.time())
+            priority = dispatch.PREFILLED_PRIORITY
+            self._gateway.placer.record_transfer(placement, self._loop.time())
         params = self._params(upstream, kv_source=kv_source, priority=priority)
         async with self._open_exchange(upstream, pool, conn) as exchange:
             await self._relay_stream(exchange, params, placement, started_at)
@@ -181,7 +181,7 @@
                     self._record_first_event(placement, started_at)
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
-                    self._gateway.placer.token_gap(
+                    self._gateway.placer.record_token_gap(
                         placement, now - last_at, self._route.event_gap_s, now
                     )
                 last_at = now
@@ -196,7 +196,7 @@
         if not self._streaming:
             self._caller.start_stream(200, head.end_to_end())
         self._caller.end_stream()
-        placement.decode.succeeded(
+        placement.decode.record_success(
             placement.decode.excess_s, self._loop.time()
         )
         self.outcome = 'whole'
@@ -226,7 +226,9 @@
     def _record_first_event(self, placement, started_at):
         now = self._loop.time()
         self.first_event_s = self.first_event_s or now - self._started_at
-        self._gateway.placer.started(placement, now - started_at, now)
+        self._gateway.placer.record_first_token(
+            placement, now - started_at, now
+        )
 
     async def _handle_error(self, exchange, head, upstream, idle_timeout_s):
         """Relays an error response, unless a stream has begun already."""
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -8,7 +8,7 @@
 from dandelionwinch import settings
 
 MAX_CANDIDATES = 16
-HANDOVER_S = 0.005
+KV_TRANSFER_S = 0.005
 # Part of its prefill rate below which an upstream gets no prompts.
 MIN_SPEED_RATIO = 0.05
 RATE_SPAN_S = 5.0
@@ -217,8 +217,8 @@
             and estimate.name not in demand.exclude
             and estimate.allowed()
         ]
-        # Quarantined upstreams are used only if there is no other.
-        usable = [e for e in allowed if now >= e.quarantined_until]
+        # Ejected upstreams are used only if there is no other.
+        usable = [e for e in allowed if now >= e.ejected_until]
         return usable or allowed
 
     def _peer_rate(self, pool):
@@ -309,7 +309,7 @@
         if not decodes_here:
             pool = next(p for p in pools if estimate.name in p.upstreams)
             decode = self.choose_decode(demand, pool, now, first_s) or ''
-            first_s += HANDOVER_S
+            first_s += KV_TRANSFER_S
         terms = (
             f'wait {option.wait_s:.3f} s, prefill {option.prefill_s:.3f} s, '
             f'distance {option.link_cost_s:.3f} s, '
--- a/dandelionwinch/upstreams/_registry.py
+++ b/dandelionwinch/upstreams/_registry.py
@@ -7,7 +7,7 @@
 # Gains of the moving averages of failures and of excess latency.
 FAILURE_GAIN = 0.2
 EJECT_FAILURE_RATIO = 0.5
-EJECT_S = 1.0
+INITIAL_EJECT_S = 1.0
 EJECT_GROWTH_FACTOR = 1.5
 MAX_EJECT_S = 8.0
 MAX_EJECTED_RATIO = 0.5
@@ -29,7 +29,7 @@
     """The entry of an upstream in the store, written by itself.
 
     Attributes:
-        born: Unix millisecond of its start, 0 if not stated.
+        started_at_ms: Unix millisecond of its start, 0 if not stated.
         ready: Whether it accepts new requests.
     """
 
@@ -37,7 +37,7 @@
     service: str
     address: str
     data_centre: str
-    born: int
+    started_at_ms: int
     ready: bool
     role: Role
     slots: int
@@ -50,7 +50,7 @@
 
     Attributes:
         gone_at: When its entry vanished, None while it is there.
-        failures: Moving average of failed attempts, 0 to 1.
+        failure_rate: Moving average of failed attempts, 0 to 1.
         excess_s: Moving average of the latency in excess of the expected.
         active: Requests of this instance that are in flight.
         role_change_until: Time up to which its role may be changing.
@@ -61,7 +61,7 @@
 
     entry: Entry
     gone_at: float | None = None
-    failures: float = 0.0
+    failure_rate: float = 0.0
     excess_s: float = 0.0
     active: int = 0
     role_change_until: float = 0.0
@@ -69,17 +69,17 @@
     ejections: int = 0
     observed_at: float = 0.0
 
-    def succeeded(self, excess_s, now):
+    def record_success(self, excess_s, now):
         """Records a successful attempt.
 
         Args:
             excess_s: Latency in excess of the expected.
             now: Time in seconds.
         """
-        self.failures -= FAILURE_GAIN * self.failures
+        self.failure_rate -= FAILURE_GAIN * self.failure_rate
         self.excess_s += LATENCY_GAIN * (excess_s - self.excess_s)
         self.observed_at = now
-        if self.failures < FAILURE_GAIN / 2:
+        if self.failure_rate < FAILURE_GAIN / 2:
             self.ejections = 0
 
     def recent_excess_s(self, now):
@@ -87,11 +87,11 @@
         fresh = max(0.0, 1.0 - (now - self.observed_at) / EXCESS_FADE_S)
         return max(0.0, self.excess_s) * fresh
 
-    def failed(self, now):
+    def record_failure(self, now):
         """Records a failed attempt; ejects the upstream after many."""
-        self.failures += FAILURE_GAIN * (1.0 - self.failures)
+        self.failure_rate += FAILURE_GAIN * (1.0 - self.failure_rate)
         self.observed_at = now
-        if self.failures >= EJECT_FAILURE_RATIO:
+        if self.failure_rate >= EJECT_FAILURE_RATIO:
             self.eject(now)
 
     def eject(self, now):
@@ -99,12 +99,12 @@
         if self.ejected_until > now:
             return
         span_s = min(
-            MAX_EJECT_S, EJECT_S * EJECT_GROWTH_FACTOR**self.ejections
+            MAX_EJECT_S, INITIAL_EJECT_S * EJECT_GROWTH_FACTOR**self.ejections
         )
         self.ejected_until = now + span_s
         self.ejections += 1
         # Below the limit, but one more failure ejects it again.
-        self.failures = EJECT_FAILURE_RATIO - FAILURE_GAIN / 2
+        self.failure_rate = EJECT_FAILURE_RATIO - FAILURE_GAIN / 2
 
 
 class Registry:
@@ -126,7 +126,7 @@
         upstream = self._by_id.get(entry.id)
         same = (
             upstream is not None
-            and upstream.entry.born == entry.born
+            and upstream.entry.started_at_ms == entry.started_at_ms
             and upstream.entry.address == entry.address
         )
         if same:
