--- a/dandelionwinch/adapters/service.py
+++ b/dandelionwinch/adapters/service.py
@@ -66,7 +66,7 @@
 class ServiceAdapter:
     """Speaks to plain services; every failure is a reply."""
 
-    __slots__ = ('_pools', '_connect_s')
+    __slots__ = ('_connect_s', '_pools')
 
     def __init__(self, connect_s, idle_s):
         self._connect_s = connect_s
--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -113,7 +113,7 @@
 class UpstreamAdapter:
     """Speaks to model engines."""
 
-    __slots__ = ('_pools', '_connect_s')
+    __slots__ = ('_connect_s', '_pools')
 
     def __init__(self, connect_s, idle_s):
         self._connect_s = connect_s
--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -309,7 +309,7 @@
             target.placement.address, f'{self._job_id}-{target.generation}'
         )
 
-    def fetch(self, request_id):
+    def whole(self, request_id):
         """Returns the whole answer as a JSON body in bytes."""
         if not self.job.continuable:
             return self._fetch_whole()
