--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -86,7 +86,7 @@
         return 'unknown'
     if load.failed:
         return 'failed'
-    if load.applying_order:
+    if load.away:
         return 'away'
     if estimate is not None and not estimate.usable(now):
         return 'resting'
