--- a/dandelionwinch/adapters/__init__.py
+++ b/dandelionwinch/adapters/__init__.py
@@ -1,7 +1,8 @@
-"""Adapters to the systems outside, each behind a small interface.
+"""Clients of external systems.
 
-Every wire name, path and timeout of an outside system stays in its
-adapter. Settings choose the adapter by its kind.
+The wire names, paths and timeouts of an external system are defined only
+in its adapter. The setting `kind` selects the adapter of the store and of
+the list of instances.
 """
 
 from dandelionwinch.adapters import endpointslices
@@ -12,10 +13,20 @@
 
 
 def open_store(cfg, idle_s):
-    """Opens the store that the settings name."""
+    """Returns a client of the configured key-value store.
+
+    Args:
+        cfg: StoreSettings.
+        idle_s: Seconds after which idle connections are closed.
+    """
     return STORES[cfg.kind](cfg, idle_s)
 
 
 def open_live_list(cfg, idle_s):
-    """Opens the list of instances that the settings name."""
+    """Returns a client of the configured list of instances.
+
+    Args:
+        cfg: LiveListSettings.
+        idle_s: Seconds after which idle connections are closed.
+    """
     return LIVE_LISTS[cfg.kind](cfg, idle_s)
