--- a/dandelionwinch/adapters/connection_pools.py
+++ b/dandelionwinch/adapters/connection_pools.py
@@ -1,4 +1,4 @@
-"""HTTP connections that are retired before they fall silent."""
+"""Pools of HTTP connections that are closed after an idle time."""
 
 import socket
 import threading
@@ -8,29 +8,33 @@
 from urllib3 import connection
 
 KEEPALIVE_IDLE_S = 10
-KEEPALIVE_PROBE_S = 3
+KEEPALIVE_INTERVAL_S = 3
 KEEPALIVE_PROBES = 3
-POOL_SIZE = 128
+MAX_POOLED_CONNECTIONS = 128
 
 SOCKET_OPTIONS = connection.HTTPConnection.default_socket_options + [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     (
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
-        (KEEPALIVE_IDLE_S + KEEPALIVE_PROBES * KEEPALIVE_PROBE_S) * 1000,
+        (KEEPALIVE_IDLE_S + KEEPALIVE_PROBES * KEEPALIVE_INTERVAL_S) * 1000,
     ),
 ]
 
 
 class ConnectionPools:
-    """Pools of kept connections, renewed as a whole after a time.
+    """Connection pools by address; a pool that was idle is replaced.
 
-    A middlebox may forget an idle connection without a word. Idle
-    connections are therefore dropped after ``idle_s`` seconds, well
-    before such boxes forget them; calls under way go on undisturbed.
+    A middlebox may drop the state of an idle connection without notifying
+    its ends. A pool that was not used for ``idle_s`` seconds, which is well
+    below the timeouts of middleboxes, is therefore closed and replaced.
+    Requests in progress on the old pool are not affected.
+
+    Args:
+        idle_s: Seconds without use after which a pool is replaced.
     """
 
     __slots__ = ('_idle_s', '_lock', '_pools', '_used_at')
@@ -42,10 +46,10 @@
         self._used_at = {}
 
     def pool_for(self, address):
-        """Returns the pool of connections to an address.
+        """Returns the connection pool of an address.
 
         Args:
-            address: IP number and port, such as ``127.0.0.1:80``.
+            address: IP address and port, such as ``127.0.0.1:80``.
         """
         now = time.monotonic()
         with self._lock:
@@ -66,13 +70,13 @@
         return urllib3.HTTPConnectionPool(
             host,
             int(port),
-            maxsize=POOL_SIZE,
+            maxsize=MAX_POOLED_CONNECTIONS,
             retries=False,
             socket_options=SOCKET_OPTIONS,
         )
 
     def discard(self, address):
-        """Drops kept connections to an address that misbehaved."""
+        """Closes the pool of an address after a connection error."""
         with self._lock:
             pool = self._pools.pop(address, None)
         if pool is not None:
