--- a/dandelionwinch/adapters/endpointslices.py
+++ b/dandelionwinch/adapters/endpointslices.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, by Kubernetes' EndpointSlices."""
+"""Client of the platform's list of instances: Kubernetes EndpointSlices."""
 
 import attrs
 from urllib3 import exceptions
@@ -6,18 +6,18 @@
 from dandelionwinch.adapters import connection_pools
 
 _PATH = '/apis/discovery.k8s.io/v1/namespaces/{}/endpointslices'
-_CLIENT_PORT = 'client'
-_PEER_PORT = 'peer'
-_OPERATOR_PORT = 'operator'
+_CLIENT_PORT_NAME = 'client'
+_PEER_PORT_NAME = 'peer'
+_OPERATOR_PORT_NAME = 'operator'
 
 
 @attrs.frozen
 class ListedInstance:
-    """One line of the platform's list.
+    """One instance of the platform's list.
 
     Attributes:
-        ready: Whether it may get new work.
-        leaving: Whether the platform is about to take it away.
+        ready: Whether the instance may receive new work.
+        leaving: Whether the platform is terminating the instance.
     """
 
     name: str
@@ -30,7 +30,11 @@
 
 
 class EndpointSliceList:
-    """Reads the list; an instance that is gone has no line."""
+    """Client of the list; instances that ended are not listed.
+
+    Attributes:
+        calls: Number of requests.
+    """
 
     __slots__ = ('_cfg', '_pools', 'calls')
 
@@ -40,10 +44,11 @@
         self.calls = 0
 
     def fetch(self):
-        """Reads the whole list.
+        """Fetches the list.
 
         Returns:
-            A tuple of ListedInstance, or None if it was not reached.
+            A tuple of ListedInstance, or None if the platform did not
+            respond or the response is invalid.
         """
         self.calls += 1
         path = _PATH.format(self._cfg.namespace)
@@ -54,7 +59,7 @@
             if reply.status != 200:
                 return None
             slices = reply.json()['items']
-            return tuple(_read(part) for part in slices)
+            return tuple(_parse_slice(item) for item in slices)
         except (exceptions.HTTPError, ValueError, LookupError, TypeError):
             self._pools.discard(self._cfg.address)
             return None
@@ -64,17 +69,17 @@
         self._pools.close()
 
 
-def _read(part):
-    endpoint = part['endpoints'][0]
+def _parse_slice(item):
+    endpoint = item['endpoints'][0]
     host = endpoint['addresses'][0]
-    ports = {port['name']: port['port'] for port in part['ports']}
+    ports = {port['name']: port['port'] for port in item['ports']}
     conditions = endpoint.get('conditions', {})
     return ListedInstance(
-        name=part['metadata']['name'],
+        name=item['metadata']['name'],
         data_centre=endpoint.get('zone', ''),
-        client_address=f'{host}:{ports[_CLIENT_PORT]}',
-        peer_address=f'{host}:{ports[_PEER_PORT]}',
-        operator_address=f'{host}:{ports[_OPERATOR_PORT]}',
+        client_address=f'{host}:{ports[_CLIENT_PORT_NAME]}',
+        peer_address=f'{host}:{ports[_PEER_PORT_NAME]}',
+        operator_address=f'{host}:{ports[_OPERATOR_PORT_NAME]}',
         ready=bool(conditions.get('ready', True)),
         leaving=bool(conditions.get('terminating', False)),
     )
