--- a/dandelionwinch/adapters/etcd.py
+++ b/dandelionwinch/adapters/etcd.py
@@ -1,4 +1,4 @@
-"""The platform's store, by etcd's published v3 JSON interface."""
+"""Client of the key-value store: etcd's v3 JSON API."""
 
 import base64
 import json
@@ -8,11 +8,11 @@
 from dandelionwinch.adapters import connection_pools
 from dandelionwinch import effects
 
-_NEVER_SENT = (
+_NOT_SENT_ERRORS = (
     exceptions.NewConnectionError,
     exceptions.ConnectTimeoutError,
 )
-READ_TRIES = 2
+READ_ATTEMPTS = 2
 
 
 def _encode(data):
@@ -24,18 +24,20 @@
 
 
 def prefix_end(prefix):
-    """Returns the first key after all keys with a prefix."""
+    """Returns the end (exclusive) of the range of keys with a prefix."""
     raw = bytearray(prefix.encode())
     raw[-1] += 1
     return bytes(raw)
 
 
 class EtcdStore:
-    """Runs store requests; every failure is a reply, never raised.
+    """Executes store requests; a failure is returned as a reply.
 
-    The store counts each call; ``calls`` counts the same here. Watches
-    are not used, for a waiting watch counts as a call as well and
-    freshness has to be confirmed by reads in any case.
+    Watches are not used: a pending watch counts as a call to the store,
+    too, and the age of data must be confirmed by reads in any case.
+
+    Attributes:
+        calls: Number of requests, counted as the store counts them.
     """
 
     __slots__ = ('_cfg', '_pools', 'calls')
@@ -46,12 +48,15 @@
         self.calls = 0
 
     def execute(self, request):
-        """Runs one request of the effects module.
+        """Executes a Read, Scan or Commit of the effects module.
 
         Returns:
-            The reply. A write that was sent but not answered gives
-            Uncertain; anything that was surely not written gives
-            Unavailable.
+            A reply of the effects module: Uncertain if a commit was sent
+            and got no valid response, so that it may have been applied;
+            Unavailable if a read failed or a commit was not sent.
+
+        Raises:
+            TypeError: If the request is of another class.
         """
         match request:
             case effects.Read():
@@ -64,7 +69,7 @@
 
     def _read(self, request):
         body = {'key': self._key(request.key)}
-        reply = self._post('/v3/kv/range', body)
+        reply = self._post_read('/v3/kv/range', body)
         if reply is None:
             return effects.Unavailable()
         records = self._records(reply)
@@ -80,7 +85,7 @@
         }
         if request.after:
             body['min_mod_revision'] = str(request.after + 1)
-        reply = self._post('/v3/kv/range', body)
+        reply = self._post_read('/v3/kv/range', body)
         if reply is None:
             return effects.Unavailable()
         revision = int(reply['header']['revision'])
@@ -93,7 +98,7 @@
         }
         try:
             reply = self._send('/v3/kv/txn', body)
-        except _NEVER_SENT:
+        except _NOT_SENT_ERRORS:
             return effects.Unavailable()
         except (exceptions.HTTPError, ValueError):
             return effects.Uncertain()
@@ -126,9 +131,13 @@
         value = _decode(kv.get('value', ''))
         return effects.Record(key, value, int(kv['mod_revision']))
 
-    def _post(self, path, body):
-        """Sends a read; one that meets a closed connection is repeated."""
-        for _try in range(READ_TRIES):
+    def _post_read(self, path, body):
+        """Sends a read, with a retry for a connection closed by the store.
+
+        Returns:
+            The parsed response, or None if all attempts failed.
+        """
+        for _attempt in range(READ_ATTEMPTS):
             try:
                 return self._send(path, body)
             except (exceptions.HTTPError, ValueError):
@@ -136,15 +145,22 @@
         return None
 
     def _send(self, path, body):
-        last = None
+        """Sends a request to the first endpoint that accepts connections.
+
+        Raises:
+            urllib3.exceptions.HTTPError: If no endpoint accepts a
+                connection, or the request fails after connecting.
+            ValueError: If the response is not JSON.
+        """
+        last_error = None
         for endpoint in self._cfg.endpoints:
             self.calls += 1
             try:
                 return self._send_to(endpoint, path, body)
-            except _NEVER_SENT as exc:
+            except _NOT_SENT_ERRORS as exc:
                 self._pools.discard(endpoint)
-                last = exc
-        raise last
+                last_error = exc
+        raise last_error
 
     def _send_to(self, endpoint, path, body):
         try:
@@ -160,7 +176,7 @@
             raise
         if reply.status != 200:
             raise exceptions.HTTPError(
-                f'store "{endpoint}" answered {reply.status}'
+                f'store "{endpoint}" responded with status {reply.status}'
             )
         return reply.json()
 
