--- a/dandelionwinch/adapters/service.py
+++ b/dandelionwinch/adapters/service.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP, with outcomes by idempotency key."""
+"""Client of plain HTTP services and of their outcomes by idempotency key."""
 
 import json
 
@@ -9,7 +9,7 @@
 from dandelionwinch.adapters import connection_pools
 
 _OUTCOME_TIMEOUT_S = 2.0
-_NEVER_SENT = (
+_NOT_SENT_ERRORS = (
     exceptions.NewConnectionError,
     exceptions.ConnectTimeoutError,
 )
@@ -17,7 +17,11 @@
 
 @attrs.frozen
 class ServiceCall:
-    """One call of a plain service."""
+    """A call of a plain service.
+
+    Attributes:
+        key: Idempotency key, or an empty string.
+    """
 
     method: str
     path: str
@@ -29,7 +33,7 @@
 
 @attrs.frozen
 class Answered:
-    """Reply: the service answered."""
+    """Call result: the service responded."""
 
     status: int
     body: bytes
@@ -38,42 +42,56 @@
 
 @attrs.frozen
 class NotSent:
-    """Reply: the service was not reached, so the call did not run."""
+    """Call result: no connection was made, so the call did not run."""
 
 
 @attrs.frozen
 class NoAnswer:
-    """Reply: the call was sent and may have run."""
+    """Call result: the call was sent and may have run."""
 
 
 @attrs.frozen
 class Ran:
-    """Reply: a call with this key ran, with this answer."""
+    """Outcome: a call with the key ran.
+
+    Attributes:
+        body: The response body of that call, as JSON.
+    """
 
     body: bytes
 
 
 @attrs.frozen
 class NeverSeen:
-    """Reply: no call with this key has arrived so far."""
+    """Outcome: the service has not received a call with the key."""
 
 
 @attrs.frozen
 class CannotSay:
-    """Reply: the service does not know or was not reached."""
+    """Outcome: unknown to the service, or the service did not respond."""
 
 
 class ServiceAdapter:
-    """Speaks to plain services; every failure is a reply."""
+    """Client of plain services; a failure is returned as a result.
 
-    __slots__ = ('_connect_s', '_pools')
+    Args:
+        connect_timeout_s: Timeout of opening a connection in seconds.
+        idle_s: Seconds after which idle connections are closed.
+    """
 
-    def __init__(self, connect_s, idle_s):
-        self._connect_s = connect_s
+    __slots__ = ('_connect_timeout_s', '_pools')
+
+    def __init__(self, connect_timeout_s, idle_s):
+        self._connect_timeout_s = connect_timeout_s
         self._pools = connection_pools.ConnectionPools(idle_s)
 
     def call(self, address, call, timeout_s):
-        """Sends a call once.
+        """Sends a call, without retries and redirects.
+
+        Args:
+            address: IP address and port of the service.
+            call: A ServiceCall.
+            timeout_s: Timeout of each read from the connection in seconds.
 
         Returns:
             Answered, NotSent or NoAnswer.
@@ -84,7 +102,9 @@
         }
         if call.key:
             headers['Idempotency-Key'] = call.key
-        timeout = urllib3.Timeout(connect=self._connect_s, read=timeout_s)
+        timeout = urllib3.Timeout(
+            connect=self._connect_timeout_s, read=timeout_s
+        )
         try:
             reply = self._pools.pool_for(address).request(
                 call.method,
@@ -94,7 +114,7 @@
                 timeout=timeout,
                 redirect=False,
             )
-        except _NEVER_SENT:
+        except _NOT_SENT_ERRORS:
             self._pools.discard(address)
             return NotSent()
         except exceptions.HTTPError:
@@ -104,14 +124,18 @@
         return Answered(reply.status, reply.data, content_type)
 
     def fetch_outcome(self, address, key):
-        """Asks what became of a key: Ran, NeverSeen or CannotSay."""
+        """Fetches the outcome of the call with an idempotency key.
+
+        Returns:
+            Ran, NeverSeen or CannotSay.
+        """
         try:
             reply = self._pools.pool_for(address).request(
                 'GET', f'/outcomes/{key}', timeout=_OUTCOME_TIMEOUT_S
             )
             if reply.status != 200:
                 return CannotSay()
-            return _outcome_of(reply.json())
+            return _parse_outcome(reply.json())
         except (exceptions.HTTPError, ValueError, AttributeError):
             self._pools.discard(address)
             return CannotSay()
@@ -121,7 +145,7 @@
         self._pools.close()
 
 
-def _outcome_of(body):
+def _parse_outcome(body):
     match body.get('state'):
         case 'done':
             return Ran(json.dumps(body.get('answer')).encode())
