--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -1,4 +1,4 @@
-"""Model engines with an OpenAI-style interface and role orders."""
+"""Client of model engines: OpenAI-compatible API, load and role orders."""
 
 import json
 
@@ -12,23 +12,23 @@
 _ORDER_TIMEOUT_S = 2.0
 _CANCEL_TIMEOUT_S = 0.5
 _PREFILL_MARGIN_S = 5.0
-_DONE = '[DONE]'
-_NEVER_SENT = (
+_END_MARK = '[DONE]'
+_NOT_SENT_ERRORS = (
     exceptions.NewConnectionError,
     exceptions.ConnectTimeoutError,
 )
 
 
 class UpstreamUnreachable(Exception):
-    """No connection to the upstream; nothing was sent."""
+    """No connection to the upstream was made; the request was not sent."""
 
 
 class UpstreamRefused(Exception):
-    """The upstream answered that it does not take the job.
+    """The upstream responded with a status other than 200.
 
     Attributes:
-        status: HTTP status of the answer.
-        body: Text of the answer.
+        status: HTTP status of the response.
+        body: Body of the response as text.
     """
 
     def __init__(self, status, body):
@@ -38,17 +38,18 @@
 
 
 class IncompleteResponse(Exception):
-    """The connection ended or fell silent before the answer's end."""
+    """The response ended early, timed out or is malformed."""
 
 
 @attrs.frozen
 class Chunk:
-    """Part of an answer.
+    """A chunk of a streamed completion.
 
     Attributes:
-        offset: Index of the piece in the whole answer.
-        text: New text; empty for pieces without text.
-        choices: The piece as the upstream sent it.
+        offset: Index of the chunk in the completion, by the id of the
+            last event that has one; -1 if there is none.
+        text: Text that the chunk adds; may be empty.
+        choices: The field `choices` of the chunk.
     """
 
     offset: int
@@ -58,17 +59,22 @@
 
 @attrs.frozen
 class End:
-    """The explicit end of an answer."""
+    """The end mark of a streamed completion."""
 
 
 @attrs.frozen
 class Load:
-    """An upstream's own report.
+    """Load and role that an upstream reports.
 
     Attributes:
-        boot: Changes when the upstream was restarted.
-        order_id: Identifier of the last order that it took.
-        applying_order: Whether it is carrying out an order.
+        running: Jobs that decode.
+        waiting: Jobs that wait for the end of their prefill.
+        waiting_tokens: Prompt tokens that are not prefilled yet.
+        kv_tokens: Tokens in the KV cache.
+        epoch: Highest fencing epoch of the orders received.
+        order_id: Identifier of the last accepted order, or empty.
+        applying_order: Whether the upstream is executing an order.
+        boot: Number that changes when the upstream restarts.
     """
 
     running: int
@@ -87,11 +93,13 @@
     """One attempt at a job on one upstream.
 
     Attributes:
-        path: Interface path, such as ``/v1/completions``.
-        body: The request as the engine understands it.
-        resume_after: Offset of the last piece seen, or -1.
-        silence_s: Longest wait for the next piece.
-        first_chunk_timeout_s: Longest wait for the first piece.
+        job_id: Request id, by which the upstream finds a job to resume.
+        path: API path, such as ``/v1/completions``.
+        body: Parsed request body.
+        resume_after: Offset of the last chunk received, or -1.
+        chunk_timeout_s: Timeout between chunks in seconds.
+        first_chunk_timeout_s: Timeout of the first chunk in seconds, to
+            which a margin is added.
     """
 
     job_id: str
@@ -104,45 +112,66 @@
 
 @attrs.frozen
 class OrderReply:
-    """What an upstream said to an order."""
+    """Response of an upstream to an order.
+
+    Attributes:
+        accepted: Whether the upstream accepted the order.
+        fenced: Whether it rejected the order for an old epoch.
+    """
 
     accepted: bool
     fenced: bool
 
 
 class UpstreamAdapter:
-    """Speaks to model engines."""
+    """Client of model engines.
+
+    Args:
+        connect_timeout_s: Timeout of opening a connection in seconds.
+        idle_s: Seconds after which idle connections are closed.
+    """
 
-    __slots__ = ('_connect_s', '_pools')
+    __slots__ = ('_connect_timeout_s', '_pools')
 
-    def __init__(self, connect_s, idle_s):
-        self._connect_s = connect_s
+    def __init__(self, connect_timeout_s, idle_s):
+        self._connect_timeout_s = connect_timeout_s
         self._pools = connection_pools.ConnectionPools(idle_s)
 
     def stream(self, address, call):
-        """Opens an answer as a stream.
+        """Streams a completion.
 
         Yields:
-            Piece for each part and one End.
+            A Chunk for each event, then End.
 
         Raises:
-            UpstreamUnreachable: Before anything was sent.
-            UpstreamRefused: If the upstream does not take the job.
-            UpstreamBroke: If the stream ends early or falls silent.
+            UpstreamUnreachable: If no connection was made.
+            UpstreamRefused: If the status is not 200.
+            IncompleteResponse: If the stream ends early, a timeout passes
+                or an event is malformed.
         """
         body = {**call.body, 'stream': True}
         reply = self._open(address, call, body)
         try:
-            for item in _pieces(reply):
+            for item in _parse_stream(reply):
                 yield item
-                _set_timeout(reply, call.chunk_timeout_s)
+                _set_read_timeout(reply, call.chunk_timeout_s)
         except (exceptions.HTTPError, OSError, ValueError) as exc:
             raise IncompleteResponse(str(exc)) from exc
         finally:
             reply.close()
 
     def fetch(self, address, call):
-        """Fetches an answer in one piece and returns it parsed."""
+        """Fetches a completion without streaming.
+
+        Returns:
+            The parsed response body.
+
+        Raises:
+            UpstreamUnreachable: If no connection was made.
+            UpstreamRefused: If the status is not 200.
+            IncompleteResponse: If the response ends early, a timeout passes
+                or the body is not JSON.
+        """
         body = {**call.body, 'stream': False}
         reply = self._open(address, call, body)
         try:
@@ -156,7 +185,14 @@
         """Prefills a prompt and exports its KV cache.
 
         Returns:
-            Parameters with which another upstream imports the cache.
+            The field `kv_transfer_params` of the decode request, with
+            which another upstream imports the KV cache.
+
+        Raises:
+            UpstreamUnreachable: If no connection was made.
+            UpstreamRefused: If the status is not 200.
+            IncompleteResponse: If the response ends early, a timeout passes
+                or the body is not JSON.
         """
         body = {
             **call.body,
@@ -178,7 +214,7 @@
         if call.resume_after >= 0:
             headers['Last-Event-ID'] = str(call.resume_after)
         timeout = urllib3.Timeout(
-            connect=self._connect_s,
+            connect=self._connect_timeout_s,
             read=call.first_chunk_timeout_s + _PREFILL_MARGIN_S,
         )
         try:
@@ -190,48 +226,58 @@
                 timeout=timeout,
                 preload_content=False,
             )
-        except _NEVER_SENT as exc:
+        except _NOT_SENT_ERRORS as exc:
             self._pools.discard(address)
             raise UpstreamUnreachable(str(exc)) from exc
         except exceptions.HTTPError as exc:
             self._pools.discard(address)
             raise IncompleteResponse(str(exc)) from exc
         if reply.status != 200:
-            text = _read_refusal(reply)
+            text = _read_error_body(reply)
             raise UpstreamRefused(reply.status, text)
         return reply
 
     def cancel(self, address, job_id):
-        """Tells an upstream that nobody wants a job's answer."""
+        """Cancels a job on an upstream; errors are ignored."""
         body = {'request_id': job_id}
-        self._ask(address, 'POST', '/v1/cancel', body, _CANCEL_TIMEOUT_S)
+        self._request(address, 'POST', '/v1/cancel', body, _CANCEL_TIMEOUT_S)
 
     def fetch_load(self, address):
-        """Returns an upstream's Load, or None if it does not answer."""
-        answer = self._ask(address, 'GET', '/load', None, _LOAD_TIMEOUT_S)
-        if answer is None or answer.status != 200:
+        """Returns the Load of an upstream.
+
+        Returns None if the upstream does not respond or the response is
+        invalid.
+        """
+        reply = self._request(address, 'GET', '/load', None, _LOAD_TIMEOUT_S)
+        if reply is None or reply.status != 200:
             return None
         try:
-            return _load_of(answer.json())
+            return _parse_load(reply.json())
         except (ValueError, TypeError, AttributeError):
             return None
 
     def send_order(self, address, order):
-        """Sends an order and returns an OrderAnswer or None.
+        """Sends a role order.
 
-        None means that no answer came: it may have been taken.
+        Args:
+            address: IP address and port of the upstream.
+            order: An order with `id`, `epoch` and `role`.
+
+        Returns:
+            An OrderReply, or None if no valid response was received; the
+            upstream may have accepted the order then.
         """
         body = {
             'order_id': order.id,
             'epoch': order.epoch,
             'role': order.role,
         }
-        answer = self._ask(address, 'POST', '/role', body, _ORDER_TIMEOUT_S)
-        if answer is None or answer.status not in (202, 409):
+        reply = self._request(address, 'POST', '/role', body, _ORDER_TIMEOUT_S)
+        if reply is None or reply.status not in (202, 409):
             return None
-        return OrderReply(answer.status == 202, answer.status == 409)
+        return OrderReply(reply.status == 202, reply.status == 409)
 
-    def _ask(self, address, method, path, body, timeout_s):
+    def _request(self, address, method, path, body, timeout_s):
         try:
             return self._pools.pool_for(address).request(
                 method,
@@ -248,13 +294,13 @@
         self._pools.close()
 
 
-def _set_timeout(reply, seconds):
+def _set_read_timeout(reply, timeout_s):
     conn = reply.connection
     if conn is not None and conn.sock is not None:
-        conn.sock.settimeout(seconds)
+        conn.sock.settimeout(timeout_s)
 
 
-def _read_refusal(reply):
+def _read_error_body(reply):
     try:
         return reply.read().decode('utf-8', 'replace')
     except exceptions.HTTPError:
@@ -263,54 +309,54 @@
         reply.close()
 
 
-def _load_of(body):
+def _parse_load(body):
     return Load(
-        running=_count(body.get('running', 0)),
-        waiting=_count(body.get('waiting', 0)),
-        waiting_tokens=_count(body.get('waiting_tokens', 0)),
-        kv_tokens=_count(body.get('kv_tokens', 0)),
+        running=_parse_count(body.get('running', 0)),
+        waiting=_parse_count(body.get('waiting', 0)),
+        waiting_tokens=_parse_count(body.get('waiting_tokens', 0)),
+        kv_tokens=_parse_count(body.get('kv_tokens', 0)),
         role=str(body.get('role', '')),
-        epoch=_count(body.get('epoch', 0)),
+        epoch=_parse_count(body.get('epoch', 0)),
         order_id=str(body.get('order_id', '')),
         applying_order=bool(body.get('away', False)),
-        boot=_count(body.get('boot', 0)),
+        boot=_parse_count(body.get('boot', 0)),
     )
 
 
-def _count(value):
+def _parse_count(value):
     number = int(value)
     if number < 0:
         raise ValueError(f'count {number} is negative')
     return number
 
 
-def _pieces(reply):
+def _parse_stream(reply):
     offset = -1
     for line in _lines(reply):
         name, _, value = line.partition(':')
         value = value.strip()
         if name == 'id':
             offset = int(value)
-        elif name == 'data' and value == _DONE:
+        elif name == 'data' and value == _END_MARK:
             yield End()
             return
         elif name == 'data':
             choices = json.loads(value).get('choices', [])
-            yield Chunk(offset, _text_of(choices), choices)
+            yield Chunk(offset, _chunk_text(choices), choices)
     raise IncompleteResponse('the stream has no end mark')
 
 
 def _lines(reply):
-    rest = b''
-    for data in _chunks(reply):
-        rest += data
-        while (cut := rest.find(b'\n')) >= 0:
-            line, rest = rest[:cut], rest[cut + 1 :]
+    pending = b''
+    for data in _body_parts(reply):
+        pending += data
+        while (end := pending.find(b'\n')) >= 0:
+            line, pending = pending[:end], pending[end + 1 :]
             if line:
                 yield line.decode('utf-8')
 
 
-def _chunks(reply):
+def _body_parts(reply):
     if reply.chunked:
         yield from reply.read_chunked()
         return
@@ -318,7 +364,7 @@
         yield data
 
 
-def _text_of(choices):
+def _chunk_text(choices):
     if not choices:
         return ''
     first = choices[0]
