--- a/dandelionwinch/settings.py
+++ b/dandelionwinch/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance and the operators' catalog, with defaults."""
+"""Settings of an instance and documents of the catalog, with defaults."""
 
 import enum
 import re
@@ -12,10 +12,10 @@
 MEBIBYTE = 1024 * 1024
 
 _positive = validators.gt(0)
-_share = validators.and_(validators.ge(0), validators.le(1))
+_ratio = validators.and_(validators.ge(0), validators.le(1))
 
 
-def _name(_instance, attribute, value):
+def _is_name(_instance, attribute, value):
     if not NAME_PATTERN.fullmatch(value):
         raise ValueError(
             f'{attribute.name} "{value}" is not a name of letters, digits, '
@@ -23,7 +23,7 @@
         )
 
 
-def _address(_instance, attribute, value):
+def _is_address(_instance, attribute, value):
     if not ADDRESS_PATTERN.fullmatch(value):
         raise ValueError(
             f'{attribute.name} "{value}" is not an IP number and a port, '
@@ -31,13 +31,13 @@
         )
 
 
-def _addresses(instance, attribute, values):
+def _are_addresses(instance, attribute, values):
     for value in values:
-        _address(instance, attribute, value)
+        _is_address(instance, attribute, value)
 
 
 class Role(enum.StrEnum):
-    """Part of a job that an upstream takes."""
+    """Stages of a job that an upstream runs."""
 
     PREFILL = 'prefill'
     DECODE = 'decode'
@@ -46,7 +46,7 @@
 
 
 class UpstreamState(enum.StrEnum):
-    """What operators want of an upstream."""
+    """State of an upstream or an instance that operators request."""
 
     ACTIVE = 'active'
     DRAINING = 'draining'
@@ -54,14 +54,18 @@
 
 
 class Repeat(enum.StrEnum):
-    """Whether a service's call may be executed more than once."""
+    """Whether a call of a service may be executed more than once."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
 
 
 class WhenCutOff(enum.StrEnum):
-    """What an instance does with new work while it is cut off."""
+    """Whether an instance accepts new work while it is cut off.
+
+    It is cut off while it has had no contact with the store nor with a
+    majority of the data centres for `timing.cut_off_s` seconds.
+    """
 
     REFUSE = 'refuse'
     SERVE = 'serve'
@@ -69,30 +73,35 @@
 
 @attrs.frozen(kw_only=True)
 class InstanceSettings:
-    """Who this process is and where it listens."""
+    """Identity, location and listen addresses of an instance."""
 
-    name: str = attrs.field(validator=_name)
-    data_centre: str = attrs.field(validator=_name)
-    region: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
+    data_centre: str = attrs.field(validator=_is_name)
+    region: str = attrs.field(validator=_is_name)
     client_address: str = attrs.field(
-        default='127.0.0.1:8080', validator=_address
+        default='127.0.0.1:8080', validator=_is_address
     )
     peer_address: str = attrs.field(
-        default='127.0.0.1:8081', validator=_address
+        default='127.0.0.1:8081', validator=_is_address
     )
     operator_address: str = attrs.field(
-        default='127.0.0.1:8082', validator=_address
+        default='127.0.0.1:8082', validator=_is_address
     )
     weight: float = attrs.field(default=1.0, validator=_positive)
 
 
 @attrs.frozen(kw_only=True)
 class StoreSettings:
-    """How the platform's key-value service is reached."""
+    """Connection to the key-value store.
+
+    Attributes:
+        prefix: Prefix of all keys.
+        poll_s: Time between two reads of the settings documents.
+    """
 
     kind: str = attrs.field(default='etcd', validator=validators.in_(['etcd']))
     endpoints: list[str] = attrs.field(
-        factory=list, validator=[validators.min_len(1), _addresses]
+        factory=list, validator=[validators.min_len(1), _are_addresses]
     )
     prefix: str = '/dandelionwinch/'
     timeout_s: float = attrs.field(default=1.0, validator=_positive)
@@ -101,13 +110,13 @@
 
 @attrs.frozen(kw_only=True)
 class LiveListSettings:
-    """How the platform's list of instances is reached."""
+    """Connection to the platform's list of instances."""
 
     kind: str = attrs.field(
         default='endpointslices',
         validator=validators.in_(['endpointslices']),
     )
-    address: str = attrs.field(validator=_address)
+    address: str = attrs.field(validator=_is_address)
     namespace: str = 'default'
     poll_s: float = attrs.field(default=2.0, validator=_positive)
     timeout_s: float = attrs.field(default=1.0, validator=_positive)
@@ -115,7 +124,18 @@
 
 @attrs.frozen(kw_only=True)
 class RelaySettings:
-    """Limits of the clients' listener and of upstream connections."""
+    """Limits of the client listener and of upstream connections.
+
+    Attributes:
+        max_answer_bytes: Largest completion that is relayed.
+        idle_connection_s: Seconds after which idle connections to other
+            systems are closed.
+        silence_factor: Timeout between chunks as a multiple of the
+            expected token gap.
+        least_silence_s: Least timeout between chunks.
+        deadline_s: Time after which the relay gives up a model job.
+        retry_share: Retries that each successful job earns.
+    """
 
     threads: int = attrs.field(default=96, validator=_positive)
     max_jobs: int = attrs.field(default=64, validator=_positive)
@@ -130,12 +150,30 @@
     silence_factor: float = attrs.field(default=40.0, validator=_positive)
     least_silence_s: float = attrs.field(default=1.5, validator=_positive)
     deadline_s: float = attrs.field(default=60.0, validator=_positive)
-    retry_share: float = attrs.field(default=0.2, validator=_share)
+    retry_share: float = attrs.field(default=0.2, validator=_ratio)
 
 
 @attrs.frozen(kw_only=True)
 class TimingSettings:
-    """Periods and time limits of the control tasks."""
+    """Periods and time limits of the control tasks.
+
+    Attributes:
+        beat_s: Period of heartbeats.
+        suspect_s: Time without a heartbeat after which a peer is suspect;
+            longer for peers of other data centres.
+        forget_s: Time without a heartbeat after which a peer is left out
+            of digests and, if it is not listed, removed.
+        lease_s: Duration of the lease of an order shard.
+        drift_s: Margin for clock drift: a lease ends this much earlier for
+            its holder and this much later for others.
+        load_s: Period of reading the load of upstreams.
+        answer_valid_s: Time for which a client may use an address.
+        cut_off_s: Time without contact after which an instance is cut off.
+        drain_limit_s: Longest wait for running jobs at a shutdown.
+        earnings_s: Period of writing earnings.
+        gone_margin_s: Time that an instance must be absent from the list
+            before it counts as gone.
+    """
 
     beat_s: float = attrs.field(default=0.5, validator=_positive)
     suspect_s: float = attrs.field(default=2.0, validator=_positive)
@@ -152,7 +190,17 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimSettings:
-    """Sizes of the record of calls that may not be repeated."""
+    """Limits of the claims of calls that must run at most once.
+
+    Attributes:
+        buckets: Number of store records that hold the claims.
+        retention_s: Time for which the claim of a key is kept.
+        max_kept_answer_bytes: Largest answer that is stored with a claim.
+        batch_wait_s: Time for which claims are collected into one write.
+        send_window_s: Time after the request for a claim within which the
+            call must be sent.
+        resolve_s: Period of resolving claims without an outcome.
+    """
 
     buckets: int = attrs.field(default=16, validator=_positive)
     retention_s: float = attrs.field(default=86400.0, validator=_positive)
@@ -179,7 +227,7 @@
 
 @attrs.frozen(kw_only=True)
 class LogSettings:
-    """Level and form of log records."""
+    """Level and format of log records."""
 
     level: str = attrs.field(
         default='INFO',
@@ -190,7 +238,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntrySettings:
-    """All settings of one entry instance."""
+    """All settings of an entry instance."""
 
     instance: InstanceSettings
     store: StoreSettings
@@ -209,21 +257,21 @@
 class DataCentre:
     """A data centre of a region."""
 
-    name: str = attrs.field(validator=_name)
-    region: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
+    region: str = attrs.field(validator=_is_name)
 
 
 @attrs.frozen(kw_only=True)
 class Link:
-    """The slow, billed way between two regions.
+    """The network link between regions, which is slow and billed.
 
     Attributes:
         latency_s: One-way latency in seconds.
         bytes_per_s: Usable rate.
-        price: Seconds of waiting that one gigabyte is worth.
+        price: Cost of a gigabyte, in seconds of waiting.
     """
 
-    name: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
     latency_s: float = attrs.field(default=0.010, validator=_positive)
     bytes_per_s: float = attrs.field(default=1.0e8, validator=_positive)
     price: float = attrs.field(default=0.5, validator=validators.ge(0))
@@ -231,25 +279,32 @@
 
 @attrs.frozen(kw_only=True)
 class Model:
-    """A model that clients can name."""
+    """A model that clients can request.
+
+    Attributes:
+        token_gap_s: Target time between tokens.
+        first_token_s: Target time to first token.
+    """
 
-    name: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
     token_gap_s: float = attrs.field(default=0.041, validator=_positive)
     first_token_s: float = attrs.field(default=1.1, validator=_positive)
 
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """A plain service and its rules on repeating a call.
+    """A plain service and its retry policy.
 
     Attributes:
         repeat: Whether a call may be executed more than once.
-        asks_by_key: Whether a back end can tell a call's outcome by key.
-        dedupes_by_key: Whether a back end runs a key once by itself.
-        hedge: Whether a slow idempotent call may be sent twice.
+        asks_by_key: Whether its upstreams return the outcome of a call by
+            idempotency key.
+        dedupes_by_key: Whether its upstreams execute calls with the same
+            idempotency key once.
+        hedge: Whether a slow idempotent call may be hedged.
     """
 
-    name: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
     repeat: Repeat = Repeat.ONCE
     asks_by_key: bool = False
     dedupes_by_key: bool = False
@@ -261,8 +316,8 @@
 class Pool:
     """Upstreams of one data centre that serve one model or plain services."""
 
-    name: str = attrs.field(validator=_name)
-    data_centre: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
+    data_centre: str = attrs.field(validator=_is_name)
     model: str = ''
     services: list[str] = attrs.field(factory=list)
     policy: str = 'default'
@@ -272,24 +327,25 @@
 class Fleet:
     """A named set of pools."""
 
-    name: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
     pools: list[str] = attrs.field(factory=list)
 
 
 @attrs.frozen(kw_only=True)
 class Upstream:
-    """A back end: a model engine or the process of a plain service.
+    """A model engine or a process of a plain service.
 
     Attributes:
-        accelerators: Accelerators behind the address; for reports only.
-        piece_tokens: Size of the pieces in which the engine is counted;
-            for reports only.
         checks_fencing: Whether it refuses orders of an older epoch.
+        accelerators: Number of accelerators; for reports only.
+        piece_tokens: Tokens in one unit of the engine's capacity; for
+            reports only.
+        max_batch: Largest number of jobs that decode at once.
     """
 
-    name: str = attrs.field(validator=_name)
-    pool: str = attrs.field(validator=_name)
-    address: str = attrs.field(validator=_address)
+    name: str = attrs.field(validator=_is_name)
+    pool: str = attrs.field(validator=_is_name)
+    address: str = attrs.field(validator=_is_address)
     role: Role = Role.MIXED
     state: UpstreamState = UpstreamState.ACTIVE
     checks_fencing: bool = True
@@ -307,27 +363,29 @@
 
 @attrs.frozen(kw_only=True)
 class Policy:
-    """How placement and role changes weigh their terms.
+    """Weights of placement and role changes.
 
     Attributes:
-        change_weight: Knob: 0 counts only goodput, 1 avoids changes.
-        horizon_s: Time over which a role change must pay for itself.
-        away_share: Largest share of a pool that may be away at once.
-        role_change_s: Expected time that a role change takes.
+        change_weight: From 0, which counts only goodput, to 1, which
+            avoids role changes.
+        horizon_s: Time over which the gain of a role change must exceed
+            its cost.
+        away_share: Largest share of a pool that may change roles at once.
+        role_change_s: Expected duration of a role change.
     """
 
-    name: str = attrs.field(validator=_name)
-    change_weight: float = attrs.field(default=0.2, validator=_share)
+    name: str = attrs.field(validator=_is_name)
+    change_weight: float = attrs.field(default=0.2, validator=_ratio)
     horizon_s: float = attrs.field(default=120.0, validator=_positive)
-    away_share: float = attrs.field(default=0.34, validator=_share)
+    away_share: float = attrs.field(default=0.34, validator=_ratio)
     role_change_s: float = attrs.field(default=8.0, validator=_positive)
 
 
 @attrs.frozen(kw_only=True)
 class Team:
-    """A group of clients that shares an admission limit."""
+    """Clients that share an admission limit: a token bucket of jobs."""
 
-    name: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
     weight: float = attrs.field(default=1.0, validator=_positive)
     burst_jobs: int = attrs.field(default=32, validator=_positive)
     jobs_per_s: float = attrs.field(default=20.0, validator=_positive)
@@ -335,9 +393,9 @@
 
 @attrs.frozen(kw_only=True)
 class Instance:
-    """What operators want of an entry instance."""
+    """State of an entry instance that operators request."""
 
-    name: str = attrs.field(validator=_name)
+    name: str = attrs.field(validator=_is_name)
     state: UpstreamState = UpstreamState.ACTIVE
 
 
