--- a/dandelionwinch/catalog.py
+++ b/dandelionwinch/catalog.py
@@ -1,4 +1,4 @@
-"""The operators' catalog: typed documents with checked references."""
+"""The catalog: the operators' documents, typed and with valid references."""
 
 import attrs
 
@@ -23,16 +23,16 @@
 
 
 def split_path(path):
-    """Splits ``upstream/lm-1`` into its kind and name."""
+    """Splits a path such as ``upstream/lm-1`` into kind and name."""
     kind, _, name = path.partition('/')
     return kind, name
 
 
 class Catalog:
-    """All documents of one revision, indexed by kind and name.
+    """Documents of one revision, indexed by kind and name.
 
     Attributes:
-        docs: Bare documents by path, as they stand in the store.
+        docs: Untyped documents by path, as they are stored.
     """
 
     __slots__ = ('_by_kind', '_upstreams_of_pool', 'docs')
@@ -46,7 +46,7 @@
             members.append(upstream)
 
     def all(self, kind):
-        """Returns the documents of a kind in order of their names."""
+        """Returns the documents of a kind, sorted by name."""
         return list(self._by_kind.get(kind, {}).values())
 
     def get(self, kind, name):
@@ -66,20 +66,20 @@
         return [p for p in self.all('pool') if service in p.services]
 
     def data_centre_of(self, upstream):
-        """Returns the name of the data centre that an upstream stands in."""
+        """Returns the name of the data centre of an upstream."""
         return self.get('pool', upstream.pool).data_centre
 
     def region_of(self, data_centre):
-        """Returns the name of the region of a data centre."""
+        """Returns the region of a data centre, or '' if it is unknown."""
         found = self.get('data_centre', data_centre)
         return found.region if found else ''
 
     def policy_of(self, pool):
-        """Returns the policy of a pool."""
+        """Returns the policy of a pool, or the default policy."""
         return self.get('policy', pool.policy) or DEFAULT_POLICY
 
     def link(self):
-        """Returns the figures of the way between regions."""
+        """Returns the link between regions, or the default link."""
         return self.get('link', 'default') or DEFAULT_LINK
 
 
@@ -87,14 +87,18 @@
 
 
 def build(docs, structure):
-    """Builds a catalog and checks it as a whole.
+    """Builds a catalog and validates its documents and references.
 
     Args:
-        docs: Bare documents by path.
-        structure: Turns one bare document into a typed one.
+        docs: Untyped documents by path.
+        structure: Function of a document, its class and its path that
+            returns the typed document or raises SettingsInvalid.
+
+    Returns:
+        A Catalog.
 
     Raises:
-        SettingsInvalid: With the findings of all documents.
+        SettingsInvalid: With the findings about all documents.
     """
     findings = []
     by_kind = {}
@@ -116,13 +120,13 @@
             findings.append(errors.Finding(path, 0, '$.name', message))
         by_kind.setdefault(kind, {})[name] = document
     built = Catalog(dict(docs), by_kind)
-    findings.extend(_dangling(built))
+    findings.extend(_check_documents(built))
     if findings:
         raise errors.SettingsInvalid(findings)
     return built
 
 
-def _dangling(built):
+def _check_documents(built):
     for reference in _references(built):
         if built.get(reference.kind, reference.name) is None:
             yield errors.Finding(
@@ -139,10 +143,10 @@
                 '$.model',
                 f'pool "{pool.name}" needs either a model or services',
             )
-    yield from _wrong_roles(built)
+    yield from _check_roles(built)
 
 
-def _wrong_roles(built):
+def _check_roles(built):
     for upstream in built.all('upstream'):
         pool = built.get('pool', upstream.pool)
         if pool is None:
@@ -160,6 +164,8 @@
 
 @attrs.frozen
 class _Reference:
+    """A reference by name from the field of a document to another one."""
+
     source: str
     field: str
     kind: str
