--- a/dandelionwinch/tests/test_explain.py
+++ b/dandelionwinch/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the logs alone."""
+"""Explaining requests from logs, and the checks of settings files."""
 
 import json
 import pathlib
@@ -40,18 +40,18 @@
 ]
 
 
-def test_a_request_is_explained_by_its_events_and_its_beliefs():
+def test_a_request_is_explained_by_its_events_and_their_context():
     found = explain.explain('r1', LOG)
-    assert [line.event for line in found] == [
+    assert [event.name for event in found] == [
         'upstream.gone',
         'request.placed',
         'attempt.failed',
         'request.answered',
     ]
-    assert 'fate=unknown' in explain.text_of(found[2])
+    assert 'fate=unknown' in explain.format_event(found[2])
 
 
-def test_an_unknown_id_is_said_to_be_unknown(tmp_path):
+def test_an_unknown_id_is_reported_as_unknown(tmp_path):
     path = tmp_path / 'a.log'
     path.write_text('\n'.join(LOG))
     runner = click.testing.CliRunner()
--- a/dandelionwinch/tools/cli.py
+++ b/dandelionwinch/tools/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The commands of the command line."""
 
 import json
 import pathlib
@@ -26,8 +26,8 @@
 from dandelionwinch.tools import demo
 from dandelionwinch.tools import explain
 
-FINDINGS_EXIT = 2
-DEFAULT_OPERATOR = '127.0.0.1:8082'
+FINDINGS_EXIT_CODE = 2
+DEFAULT_OPERATOR_ADDRESS = '127.0.0.1:8082'
 
 
 @click.group()
@@ -36,16 +36,16 @@
     """A serving system for a fixed fleet of model engines."""
 
 
-def _fail(exc):
+def _exit_with_error(exc):
     click.echo(f'error: {exc.code}: {exc.message}', err=True)
-    sys.exit(FINDINGS_EXIT)
+    sys.exit(FINDINGS_EXIT_CODE)
 
 
 def _wait_for_signal():
-    stopped = threading.Event()
+    stop_requested = threading.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, lambda *_args: stopped.set())
-    stopped.wait()
+        signal.signal(number, lambda *_args: stop_requested.set())
+    stop_requested.wait()
 
 
 @main.command('entry')
@@ -59,12 +59,12 @@
 def run_entry(path):
     """Run an entry instance until SIGINT or SIGTERM.
 
-    Both signals are a planned stop: nothing in flight is cut.
+    Both signals start a graceful stop: jobs in flight are completed.
     """
     try:
         cfg = readers.read_entry(path)
     except errors.SettingsInvalid as exc:
-        _fail(exc)
+        _exit_with_error(exc)
     log.init(cfg.instance.name, cfg.log.level, cfg.log.json)
     daemon = entry.Entry(cfg)
     try:
@@ -84,7 +84,7 @@
 @click.option('--folder', type=click.Path(file_okay=False))
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def run_soak(seed, for_s, instances, callers, folder, as_json):
-    """Run real instances under faults and check their promises."""
+    """Run real instances under injected faults and check the results."""
     if folder:
         pathlib.Path(folder).mkdir(parents=True, exist_ok=True)
     result = soak.run(seed, for_s, instances, callers, folder)
@@ -101,14 +101,14 @@
 @click.argument('request_id')
 @click.argument('logs', nargs=-1, required=True, type=click.File())
 def explain_request(request_id, logs):
-    """Explain one request by its id from the LOGS of instances."""
+    """Explain one request, given its id, from the LOGS of instances."""
     lines = (text for log_file in logs for text in log_file)
-    found = explain.explain(request_id, lines)
-    if not found:
+    events = explain.explain(request_id, lines)
+    if not events:
         click.echo(f'error: request "{request_id}" is in no log', err=True)
         sys.exit(1)
-    for line in found:
-        click.echo(explain.text_of(line))
+    for event in events:
+        click.echo(explain.format_event(event))
 
 
 @main.command('check-boot')
@@ -119,21 +119,21 @@
         findings = platform.load_settings(path).findings
     except (OSError, errors.DandelionwinchError) as exc:
         click.echo(f'error: {path}: {exc}', err=True)
-        sys.exit(FINDINGS_EXIT)
-    _report(path, findings)
+        sys.exit(FINDINGS_EXIT_CODE)
+    _print_findings(path, findings)
 
 
 @main.command('check-deploy')
 @click.argument('path', type=click.Path(dir_okay=False))
 def check_deploy(path):
     """Check a deploy file of the users' platform."""
-    _report(path, platform.check_deploy(path))
+    _print_findings(path, platform.check_deploy(path))
 
 
-def _report(path, findings):
+def _print_findings(path, findings):
     for finding in findings:
         click.echo(f'{path}: {finding}')
-    sys.exit(FINDINGS_EXIT if findings else 0)
+    sys.exit(FINDINGS_EXIT_CODE if findings else 0)
 
 
 @main.command('check-settings')
@@ -142,10 +142,10 @@
 def check_settings(path, as_json):
     """Check an instance's settings or a catalog and report all findings.
 
-    A file with the key "instance" is taken as an instance's settings,
-    any other file as a catalog. Exits with 2 if there are findings.
+    A file with the key "instance" is read as an instance's settings, any
+    other file as a catalog. Exits with 2 if there are findings.
     """
-    findings = _findings_of(path)
+    findings = _check_file(path)
     if as_json:
         lines = [
             {'file': f.file, 'line': f.line, 'path': f.path, 'text': f.message}
@@ -157,10 +157,10 @@
             click.echo(str(finding))
         if not findings:
             click.echo(f'{path}: no findings')
-    sys.exit(FINDINGS_EXIT if findings else 0)
+    sys.exit(FINDINGS_EXIT_CODE if findings else 0)
 
 
-def _findings_of(path):
+def _check_file(path):
     try:
         document = readers.read_document(path)
         value = document.value
@@ -179,7 +179,7 @@
 @click.argument('statement')
 @click.option(
     '--operator',
-    default=DEFAULT_OPERATOR,
+    default=DEFAULT_OPERATOR_ADDRESS,
     show_default=True,
     help="Address of an instance's operator listener.",
 )
@@ -191,7 +191,7 @@
 @click.option(
     '--authority-file',
     type=click.Path(exists=True, dir_okay=False),
-    help='Certificate authority; turns TLS on.',
+    help='Certificate authority; enables TLS.',
 )
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def ask(statement, operator, token_file, authority_file, as_json):
@@ -200,22 +200,26 @@
     Examples: "show upstreams where data centre = 'Nanyuki'",
     "drain upstream lm-1 if revision 4", "explain job ID".
     """
-    link = console.Link(operator, _token(token_file), authority_file)
+    client = console.OperatorClient(
+        operator, _read_token(token_file), authority_file
+    )
     try:
-        answer = link.ask(statement)
+        answer = client.run_statement(statement)
     except errors.DandelionwinchError as exc:
         if as_json:
             click.echo(json.dumps({'error': exc.code, 'text': exc.message}))
-        _fail(exc)
-    console.show(answer, as_json)
+        _exit_with_error(exc)
+    console.print_answer(answer, as_json)
 
 
-def _token(path):
+def _read_token(path):
     return pathlib.Path(path).read_text().strip() if path else ''
 
 
 @main.command()
-@click.option('--operator', default=DEFAULT_OPERATOR, show_default=True)
+@click.option(
+    '--operator', default=DEFAULT_OPERATOR_ADDRESS, show_default=True
+)
 @click.option('--token-file', type=click.Path(exists=True, dir_okay=False))
 @click.option('--authority-file', type=click.Path(exists=True, dir_okay=False))
 @click.option(
@@ -223,9 +227,11 @@
     'logs',
     multiple=True,
     type=click.File(),
-    help="An instance's log, instead of asking an operators' address.",
+    help="An instance's log, read instead of an operator listener.",
+)
+@click.option(
+    '--subject', default='', help='Only this job, upstream or order.'
 )
-@click.option('--subject', default='', help='Only this job, upstream, order.')
 @click.option('--instance', default='', help='Only this instance.')
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 @click.option(
@@ -243,36 +249,38 @@
 ):
     """Merge the events of all live instances in causal order.
 
-    Events of logs are in order of the instances' clocks.
+    Events of logs are merged in order of the instances' wall clocks.
     """
     if logs:
         answer = explain.as_timeline(text for log in logs for text in log)
     else:
-        link = console.Link(operator, _token(token_file), authority_file)
+        client = console.OperatorClient(
+            operator, _read_token(token_file), authority_file
+        )
         try:
-            answer = link.ask('show events')
+            answer = client.run_statement('show events')
         except errors.DandelionwinchError as exc:
-            _fail(exc)
+            _exit_with_error(exc)
     rows = console.filter_events(answer['rows'], subject, instance)
     answer['rows'] = rows
     if html:
         pathlib.Path(html).write_text(console.events_page(rows))
         click.echo(f'wrote {len(rows)} events to {html}')
         return
-    console.show(answer, as_json)
+    console.print_answer(answer, as_json)
 
 
 @main.group('stand-in')
 def stand_in():
-    """Start a stand-in of an outside system, to try things by hand."""
+    """Start a stand-in of an external system for manual tests."""
 
 
-def _listen(function):
+def _listen_option(function):
     return click.option(
         '--listen',
         default='127.0.0.1:0',
         show_default=True,
-        help='IP number and port; port 0 lets the system choose.',
+        help='IP address and port; port 0 selects a free port.',
     )(function)
 
 
@@ -284,20 +292,20 @@
 
 
 @stand_in.command('store')
-@_listen
+@_listen_option
 def stand_in_store(listen):
     """Start a stand-in of the platform's key-value service."""
     _serve(store.StoreServer(listen), 'store')
 
 
 @stand_in.command('live-list')
-@_listen
+@_listen_option
 @click.option(
     '--entry',
     'paths',
     multiple=True,
     type=click.Path(exists=True, dir_okay=False),
-    help='Settings of an instance to list; may be given again.',
+    help='Settings of an instance to list; can be repeated.',
 )
 def stand_in_live_list(listen, paths):
     """Start a stand-in of the platform's list of instances."""
@@ -306,12 +314,12 @@
         for path in paths:
             server.add(readers.read_entry(path).instance)
     except errors.SettingsInvalid as exc:
-        _fail(exc)
+        _exit_with_error(exc)
     _serve(server, 'live list')
 
 
 @stand_in.command('upstream')
-@_listen
+@_listen_option
 @click.option('--model', default='counter-lm', show_default=True)
 @click.option(
     '--role',
@@ -337,7 +345,7 @@
 
 
 @stand_in.command('service')
-@_listen
+@_listen_option
 @click.option('--name', default='deposits', show_default=True)
 def stand_in_service(listen, name):
     """Start a stand-in of a plain service."""
--- a/dandelionwinch/tools/console.py
+++ b/dandelionwinch/tools/console.py
@@ -1,4 +1,4 @@
-"""Talks to an operator listener and prints what it answers."""
+"""Sends statements to an operator listener and prints the answers."""
 
 import datetime
 import html
@@ -11,11 +11,17 @@
 
 from dandelionwinch import errors
 
-ASK_TIMEOUT_S = 30.0
+STATEMENT_TIMEOUT_S = 30.0
 
 
-class Link:
-    """A way to one instance's operator listener."""
+class OperatorClient:
+    """A client of one instance's operator listener.
+
+    Args:
+        address: Address of the listener, as host:port.
+        token: Bearer token of the operators, '' for none.
+        authority_file: Certificate authority that enables TLS, or None.
+    """
 
     def __init__(self, address, token='', authority_file=None):
         self._address = address
@@ -26,11 +32,12 @@
             retries=False, ca_certs=authority_file
         )
 
-    def ask(self, statement):
+    def run_statement(self, statement):
         """Sends a statement and returns the parsed answer.
 
         Raises:
-            DandelionwinchError: With the code that the instance gave.
+            Unready: If the listener did not respond with JSON.
+            DandelionwinchError: If the answer is an error; has its code.
         """
         headers = {}
         if self._token:
@@ -41,7 +48,7 @@
                 self._url,
                 body=statement.encode(),
                 headers=headers,
-                timeout=ASK_TIMEOUT_S,
+                timeout=STATEMENT_TIMEOUT_S,
             )
             answer = reply.json()
         except (urllib3.exceptions.HTTPError, ValueError) as exc:
@@ -49,17 +56,17 @@
                 f'operator listener "{self._address}" gave no answer: {exc}'
             ) from exc
         if 'error' in answer:
-            raise _error_of(answer['error'])
+            raise _to_exception(answer['error'])
         return answer
 
 
-def _error_of(error):
+def _to_exception(error):
     exc = errors.DandelionwinchError(error.get('message', 'no message'))
     exc.code = error.get('code', 'internal')
     return exc
 
 
-def show(answer, as_json):
+def print_answer(answer, as_json):
     """Prints an answer as JSON or as a table."""
     if as_json:
         click.echo(json.dumps(answer))
@@ -75,7 +82,9 @@
     for column in answer['columns']:
         table.add_column(column, overflow='fold')
     for row in answer['rows']:
-        table.add_row(*(_cell(c, row.get(c)) for c in answer['columns']))
+        table.add_row(
+            *(_format_cell(c, row.get(c)) for c in answer['columns'])
+        )
     console.print(table)
     click.echo(f'{len(answer["rows"])} rows')
     if answer.get('silent_instances'):
@@ -83,10 +92,10 @@
         click.echo(f'no answer from: {names}')
 
 
-def _cell(column, value):
+def _format_cell(column, value):
     if column == 'time' and isinstance(value, float):
-        moment = datetime.datetime.fromtimestamp(value, datetime.UTC)
-        return moment.strftime('%H:%M:%S.%f')
+        utc = datetime.datetime.fromtimestamp(value, datetime.UTC)
+        return utc.strftime('%H:%M:%S.%f')
     if value is None:
         return '-'
     if isinstance(value, list):
@@ -95,9 +104,14 @@
 
 
 def filter_events(rows, subject, instance):
-    """Keeps the events of a subject and an instance.
+    """Returns the events of a subject and an instance.
+
+    Gaps are kept, as a matching event may be among the missing ones.
 
-    Gaps stay, since an event of interest may be among what is missing.
+    Args:
+        rows: Rows of an answer to ``show events``.
+        subject: Text that the subject must contain.
+        instance: Text that the name of the instance must contain.
     """
     return [
         row
@@ -108,13 +122,13 @@
 
 
 _PAGE = """<!doctype html>
-<meta charset="utf-8"><title>Time line</title>
+<meta charset="utf-8"><title>Timeline</title>
 <style>
 body {{ font: 14px sans-serif; }}
 td {{ padding: 1px 8px; border-bottom: 1px solid #ddd; }}
 .gap td {{ background: #fdd; }}
 </style>
-<h1>Time line</h1>
+<h1>Timeline</h1>
 <table><tr>{heads}</tr>
 {rows}
 </table>
@@ -122,7 +136,7 @@
 
 
 def events_page(rows):
-    """Returns an HTML page with one column for each instance."""
+    """Returns an HTML page of events, with a column for each instance."""
     names = sorted({row['instance'] for row in rows})
     heads = ''.join(
         f'<th>{html.escape(name)}</th>' for name in ('time', *names)
@@ -134,7 +148,7 @@
             f'<td>{html.escape(text) if name == row["instance"] else ""}</td>'
             for name in names
         )
-        mark = ' class="gap"' if row['kind'] == 'gap' else ''
-        moment = _cell('time', row['time'])
-        lines.append(f'<tr{mark}><td>{moment}</td>{cells}</tr>')
+        css_class = ' class="gap"' if row['kind'] == 'gap' else ''
+        time_text = _format_cell('time', row['time'])
+        lines.append(f'<tr{css_class}><td>{time_text}</td>{cells}</tr>')
     return _PAGE.format(heads=heads, rows='\n'.join(lines))
--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -1,4 +1,4 @@
-"""A run of a whole house under load, shifts and failures."""
+"""The demo: a deployment under load, changes and failures."""
 
 import json
 import pathlib
@@ -20,19 +20,19 @@
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
 CLIENTS = 18
 STORE_OUTAGE_S = 4.0
-CONFIGURATION_LIMIT_S = 6.0
+MAX_IN_FORCE_S = 6.0
 RUN_S = 34
 FIRST_MIX = demo_clients.Mix(prompt_words=60, output_tokens=60)
 SECOND_MIX = demo_clients.Mix(prompt_words=1200, output_tokens=12)
 
-HOUSES = {
-    'hire': demo_clients.Names(
+DEPLOYMENTS = {
+    'hire': demo_clients.DeploymentNames(
         'counter-lm',
         'lookups',
         'deposits',
         ('fitting', 'trails', 'payments'),
     ),
-    'nominations': demo_clients.Names(
+    'nominations': demo_clients.DeploymentNames(
         'citation-lm',
         'screening',
         'lodging',
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Step:
-    """Something that happens at a second of the run."""
+    """An action at a time of the run."""
 
     at_s: float
     text: str
@@ -52,7 +52,13 @@
 
 
 class Script:
-    """The failures and changes of the run, and what came of them."""
+    """The scheduled changes and failures of the run.
+
+    Attributes:
+        in_force_s: Time until the configuration change was in force on all
+            instances, None if that was not seen.
+        notes: Statements that failed, with their errors.
+    """
 
     def __init__(self, fleet, clients, policy):
         self._fleet = fleet
@@ -62,61 +68,66 @@
         self.notes = []
 
     def steps(self):
-        """Returns the steps in order."""
+        """Returns the Steps in order of time."""
         return [
-            Step(4, 'prompt-to-output mix shifts', self._shift),
-            Step(6, 'a configuration changes', self._configure),
+            Step(4, 'prompt-to-output mix shifts', self._shift_mix),
+            Step(6, 'a configuration changes', self._change_configuration),
             Step(9, 'an upstream changes its role', self._change_role),
             Step(13, 'an upstream crashes', self._crash),
-            Step(16, 'it comes back', self._restart),
+            Step(16, 'the upstream restarts', self._restart),
             Step(17, 'a service loses two answers', self._lose_answers),
             Step(18, 'an instance is killed', self._kill),
             Step(21, 'the store goes down', self._store_down),
-            Step(21 + STORE_OUTAGE_S, 'the store is back', self._store_up),
-            Step(27, 'an instance stops as planned', self._stop),
-            Step(29, 'the mix shifts back', self._shift_back),
+            Step(21 + STORE_OUTAGE_S, 'the store recovers', self._store_up),
+            Step(27, 'an instance stops gracefully', self._stop),
+            Step(29, 'the mix shifts back', self._shift_mix_back),
         ]
 
-    def _ask(self, statement):
+    def run_statement(self, statement):
+        """Runs an operators' statement on a live instance.
+
+        Returns:
+            The answer, or an empty dict if it failed.
+        """
         live = next(i for i in self._fleet.instances if i.alive)
-        link = console.Link(live.cfg.operator_address)
+        client = console.OperatorClient(live.cfg.operator_address)
         try:
-            return link.ask(statement)
+            return client.run_statement(statement)
         except errors.DandelionwinchError as exc:
             self.notes.append(f'{statement}: {exc.code}: {exc.message}')
             return {}
 
-    def _shift(self):
+    def _shift_mix(self):
         self._clients.change_mix(SECOND_MIX)
 
-    def _shift_back(self):
+    def _shift_mix_back(self):
         self._clients.change_mix(FIRST_MIX)
 
-    def _configure(self):
+    def _change_configuration(self):
         statement = f'set policy {self._policy} horizon_s = 90'
         before = max(self._revisions())
         started = time.monotonic()
-        asking = threading.Thread(target=self._ask, args=(statement,))
-        asking.start()
+        thread = threading.Thread(target=self.run_statement, args=(statement,))
+        thread.start()
         while self.in_force_s is None:
             waited_s = time.monotonic() - started
             if min(self._revisions()) > before:
                 self.in_force_s = waited_s
-            elif waited_s > CONFIGURATION_LIMIT_S:
+            elif waited_s > MAX_IN_FORCE_S:
                 break
-        asking.join()
+        thread.join()
 
     def _revisions(self):
-        found = [
+        revisions = [
             self._fleet.revision_of(instance)
             for instance in self._fleet.instances
             if instance.alive
         ]
-        return [revision or 0 for revision in found]
+        return [revision or 0 for revision in revisions]
 
     def _change_role(self):
         name = next(iter(self._fleet.upstreams))
-        self._ask(f'change role of upstream {name} to decode')
+        self.run_statement(f'change role of upstream {name} to decode')
 
     def _crash(self):
         list(self._fleet.upstreams.values())[2].engine.crash()
@@ -144,7 +155,7 @@
 
 @attrs.define
 class Summary:
-    """What the stand-ins and the clients recorded."""
+    """The result of a run, counted from stand-ins and clients."""
 
     house: str
     jobs: int = 0
@@ -165,8 +176,8 @@
     promises_held: bool = False
     notes: list = attrs.field(factory=list)
 
-    def judge(self):
-        """Decides whether the promises held."""
+    def evaluate(self):
+        """Sets whether all guarantees held."""
         broken = (
             self.doubled
             + self.cut
@@ -177,7 +188,7 @@
         )
         in_force = (
             self.configuration_in_force_s is not None
-            and self.configuration_in_force_s <= CONFIGURATION_LIMIT_S
+            and self.configuration_in_force_s <= MAX_IN_FORCE_S
         )
         self.promises_held = (
             broken == 0
@@ -188,20 +199,34 @@
 
 
 def summarize(house, fleet, outcomes, script, seconds):
-    """Counts what happened, from the records of stand-ins and clients."""
+    """Returns the Summary of a run.
+
+    Args:
+        house: Name of the deployment.
+        fleet: The Fleet, whose stand-ins recorded executions and orders.
+        outcomes: JobOutcomes of all clients.
+        script: The Script that was run.
+        seconds: Duration of the run.
+    """
     engines = [server.engine for server in fleet.upstreams.values()]
     executions = fleet.journal.executions
-    run_keys = {item.key for item in executions if item.key}
-    run_requests = {item.request_id for item in executions}
-    begun = {job.rpartition('-')[0] for e in engines for job in e.started}
-    told_not_run = {i for o in outcomes for i in o.not_run}
+    run_keys = {execution.key for execution in executions if execution.key}
+    run_requests = {execution.request_id for execution in executions}
+    started_requests = {
+        job.rpartition('-')[0] for engine in engines for job in engine.started
+    }
+    reported_not_run = {i for o in outcomes for i in o.not_run}
     summary = Summary(house, jobs=len(outcomes))
     summary.answered_whole = _count(outcomes, 'whole')
     summary.refused_truthfully = _count(outcomes, 'refused')
     summary.unknown = _count(outcomes, 'unknown')
-    summary.cut = _count(outcomes, 'wrong') + sum(e.cut for e in engines)
+    summary.cut = _count(outcomes, 'wrong') + sum(
+        engine.cut for engine in engines
+    )
     summary.doubled = len(fleet.journal.doubled())
-    summary.falsely_refused = len(told_not_run & (run_requests | begun))
+    summary.falsely_refused = len(
+        reported_not_run & (run_requests | started_requests)
+    )
     summary.refused_truthfully -= min(
         summary.refused_truthfully, summary.falsely_refused
     )
@@ -210,17 +235,17 @@
         for o in outcomes
         if o.kind == 'charge' and o.state == 'whole' and o.key not in run_keys
     )
-    summary.overlapping_orders = sum(e.overlaps for e in engines)
-    summary.stale_orders = sum(e.stale for e in engines)
+    summary.overlapping_orders = sum(engine.overlaps for engine in engines)
+    summary.stale_orders = sum(engine.stale for engine in engines)
     summary.lost_connections = sum(o.lost for o in outcomes)
     tokens = sum(o.tokens for o in outcomes if o.state == 'whole')
     summary.goodput_tokens_per_s = round(tokens / seconds, 1)
-    summary.role_changes = sum(e.role_changes for e in engines)
+    summary.role_changes = sum(engine.role_changes for engine in engines)
     if script.in_force_s is not None:
         summary.configuration_in_force_s = round(script.in_force_s, 3)
     summary.seconds = round(seconds, 1)
     summary.notes = script.notes
-    summary.judge()
+    summary.evaluate()
     return summary
 
 
@@ -228,7 +253,7 @@
     return sum(1 for outcome in outcomes if outcome.state == state)
 
 
-def _play(fleet, clients, script, quiet):
+def _run_script(fleet, clients, script, quiet):
     started = time.monotonic()
     steps = script.steps()
     with rich.progress.Progress(
@@ -238,7 +263,7 @@
         console=rich.console.Console(stderr=True),
         disable=quiet,
     ) as progress:
-        bar = progress.add_task('clients at work', total=RUN_S, jobs=0)
+        bar = progress.add_task('clients send jobs', total=RUN_S, jobs=0)
         while (elapsed_s := time.monotonic() - started) < RUN_S:
             if steps and elapsed_s >= steps[0].at_s:
                 step = steps.pop(0)
@@ -256,7 +281,7 @@
     '--house',
     default='hire',
     show_default=True,
-    type=click.Choice(sorted(HOUSES)),
+    type=click.Choice(sorted(DEPLOYMENTS)),
     help='Which deployment of examples/ to run.',
 )
 @click.option('--json', 'as_json', is_flag=True, help='Print one JSON line.')
@@ -265,16 +290,16 @@
     '--timeline',
     'timeline_file',
     type=click.Path(dir_okay=False),
-    help='Write the time line of the run as an HTML page.',
+    help='Write the timeline of the run as an HTML page.',
 )
 def demo(house, as_json, keep_logs, timeline_file):
-    """Run a whole house under load, shifts and failures.
+    """Run a deployment under load, changes and failures.
 
-    Exits with 0 only if every promise held, by the records of the
-    stand-ins and of the clients.
+    Exits with 0 only if all guarantees held according to the records of
+    the stand-ins and the clients.
     """
     fleet = demo_fleet.Fleet(EXAMPLES / FOLDERS[house] / 'catalog.yaml')
-    names = HOUSES[house]
+    names = DEPLOYMENTS[house]
     data_centres = [
         data_centre.name for data_centre in fleet.catalog.all('data_centre')
     ]
@@ -287,18 +312,18 @@
         fleet.start()
         clients.start()
         try:
-            started = _play(fleet, clients, script, as_json)
+            started = _run_script(fleet, clients, script, as_json)
         finally:
             clients.stop()
         seconds = time.monotonic() - started
         if timeline_file:
-            rows = script._ask('show events').get('rows', [])
+            rows = script.run_statement('show events').get('rows', [])
             page = console.events_page(rows)
             pathlib.Path(timeline_file).write_text(page)
     finally:
         fleet.close()
     summary = summarize(house, fleet, clients.outcomes(), script, seconds)
-    _print(summary, as_json)
+    _print_summary(summary, as_json)
     if keep_logs:
         click.echo(f'settings and logs: {fleet.folder}', err=True)
     else:
@@ -306,12 +331,12 @@
     sys.exit(0 if summary.promises_held else 1)
 
 
-def _print(summary, as_json):
+def _print_summary(summary, as_json):
     values = attrs.asdict(summary)
     if as_json:
         click.echo(json.dumps(values))
         return
-    table = rich.table.Table('what', 'figure', title='What happened')
+    table = rich.table.Table('name', 'value', title='Summary')
     for name, value in values.items():
         table.add_row(name.replace('_', ' '), str(value))
     rich.console.Console().print(table)
--- a/dandelionwinch/tools/demo_clients.py
+++ b/dandelionwinch/tools/demo_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the demo, who check each answer for themselves."""
+"""Clients of the demo, which check each answer."""
 
 import json
 import random
@@ -11,19 +11,20 @@
 
 from dandelionwinch.standins import engine
 
-PATIENCE_S = 20.0
+JOB_TIMEOUT_S = 20.0
+# First retry delay, and longest pause between two jobs of a client.
 PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
+MAX_RETRY_DELAY_S = 1.0
 READ_TIMEOUT_S = 15.0
 
 
 @attrs.frozen
 class Mix:
-    """What clients ask for during a phase.
+    """The mix of prompt and output lengths during a phase.
 
     Attributes:
-        prompt_words: Length of prompts.
-        output_tokens: Length of answers.
+        prompt_words: Mean length of prompts in words.
+        output_tokens: Mean length of answers in tokens.
     """
 
     prompt_words: int
@@ -31,24 +32,28 @@
 
 
 @attrs.frozen
-class Names:
-    """Names of a house's model and services."""
+class DeploymentNames:
+    """Names of a deployment's model, services and teams."""
 
     model: str
-    lookup: str
-    once: str
+    lookup_service: str
+    charge_service: str
     teams: tuple
 
 
 @attrs.define
-class Outcome:
-    """What a client saw of one job.
+class JobOutcome:
+    """The outcome of one job as its client saw it.
 
     Attributes:
         kind: ``chat``, ``summary``, ``lookup`` or ``charge``.
+        key: Idempotency key, '' without one.
         state: ``whole``, ``refused``, ``unknown`` or ``wrong``.
-        request_ids: Requests that were told "not run".
-        lost: Connections that ended without an answer.
+        code: Error code of the last refusal.
+        lost: Number of connections that ended without an answer.
+        not_run: Ids of the requests that were refused as not run.
+        started: Monotonic time of the first attempt.
+        duration_s: Duration of the last attempt with status 200.
     """
 
     kind: str
@@ -60,11 +65,11 @@
     lost: int = 0
     not_run: list = attrs.field(factory=list)
     started: float = 0.0
-    first_s: float = 0.0
+    duration_s: float = 0.0
 
 
 class Client:
-    """One client, who asks for an address and keeps it for a while."""
+    """A client that resolves an instance's address and caches it."""
 
     def __init__(self, number, fleet, names, data_centre, mix):
         self._rng = random.Random(number)
@@ -79,44 +84,44 @@
         self._valid_until = 0.0
         self.outcomes = []
 
-    def run(self, stopped):
-        """Sends jobs until told to stop; finishes the last one."""
-        while not stopped.is_set():
+    def run(self, stop_requested):
+        """Sends jobs until the event is set; finishes the last one."""
+        while not stop_requested.is_set():
             kind = self._rng.choices(
                 ('chat', 'summary', 'lookup', 'charge'), (3, 1, 3, 2)
             )[0]
-            self.outcomes.append(self._job(kind))
+            self.outcomes.append(self._run_job(kind))
             time.sleep(PAUSE_S * self._rng.random())
 
-    def _job(self, kind):
-        outcome = Outcome(kind, started=time.monotonic())
+    def _run_job(self, kind):
+        outcome = JobOutcome(kind, started=time.monotonic())
         if kind == 'charge':
             outcome.key = f'charge-{uuid.UUID(int=self._rng.getrandbits(128))}'
         request = self._request(kind, outcome.key)
-        limit = time.monotonic() + PATIENCE_S
-        pause_s = PAUSE_S
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + JOB_TIMEOUT_S
+        delay_s = PAUSE_S
+        while time.monotonic() < deadline:
             if self._attempt(kind, request, outcome):
                 return outcome
-            time.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, 2 * pause_s)
+            time.sleep(delay_s)
+            delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
         outcome.state = outcome.state or 'unknown'
         return outcome
 
     def _request(self, kind, key):
         headers = {'X-Team': self._team}
         if kind == 'lookup':
-            path = f'/v1/services/{self._names.lookup}/trail'
+            path = f'/v1/services/{self._names.lookup_service}/trail'
             return path, headers, b'{}'
         if kind == 'charge':
             headers['Idempotency-Key'] = key
-            path = f'/v1/services/{self._names.once}/charge'
+            path = f'/v1/services/{self._names.charge_service}/charge'
             return path, headers, b'{"amount": 20}'
-        words = self._around(self.mix.prompt_words)
+        words = self._vary(self.mix.prompt_words)
         prompt = ' '.join(
             f'w{self._rng.randrange(10**6)}' for _ in range(words)
         )
-        tokens = self._around(self.mix.output_tokens)
+        tokens = self._vary(self.mix.output_tokens)
         body = {
             'model': self._names.model,
             'max_tokens': tokens,
@@ -125,14 +130,14 @@
         }
         return '/v1/chat/completions', headers, json.dumps(body).encode()
 
-    def _around(self, mean):
+    def _vary(self, mean):
         return max(2, int(mean * self._rng.uniform(0.5, 1.5)))
 
-    def _where(self):
+    def _resolve(self):
         now = time.monotonic()
         if self._address and now < self._valid_until:
             return self._address
-        for address in self._askable():
+        for address in self._directories():
             url = (
                 f'http://{address}/v1/address?data_centre={self._data_centre}'
             )
@@ -150,14 +155,14 @@
                 return self._address
         return self._fallback or self._address
 
-    def _askable(self):
-        known = [i.cfg.client_address for i in self._fleet.instances]
-        self._rng.shuffle(known)
-        return [a for a in (self._address, self._fallback) if a] + known
+    def _directories(self):
+        addresses = [i.cfg.client_address for i in self._fleet.instances]
+        self._rng.shuffle(addresses)
+        return [a for a in (self._address, self._fallback) if a] + addresses
 
     def _attempt(self, kind, request, outcome):
         path, headers, body = request
-        address = self._where()
+        address = self._resolve()
         started = time.monotonic()
         try:
             reply = self._http.request(
@@ -169,17 +174,17 @@
                 preload_content=False,
             )
             if reply.status != 200:
-                return self._refused(reply, outcome)
+                return self._record_refusal(reply, outcome)
             data = reply.read()
         except urllib3.exceptions.HTTPError:
             outcome.lost += 1
             self._valid_until = 0.0
             self._address = self._fallback
             return False
-        outcome.first_s = time.monotonic() - started
-        return self._judge(kind, json.loads(body), data, outcome)
+        outcome.duration_s = time.monotonic() - started
+        return self._check_answer(kind, json.loads(body), data, outcome)
 
-    def _refused(self, reply, outcome):
+    def _record_refusal(self, reply, outcome):
         error = json.loads(reply.read()).get('error', {})
         outcome.refusals += 1
         outcome.code = error.get('code', '')
@@ -191,36 +196,36 @@
             outcome.state = 'unknown'
         return False
 
-    def _judge(self, kind, body, data, outcome):
+    def _check_answer(self, kind, body, data, outcome):
         if kind in ('lookup', 'charge'):
-            whole = json.loads(data).get('ok') is True
-            outcome.state = 'whole' if whole else 'wrong'
+            is_whole = json.loads(data).get('ok') is True
+            outcome.state = 'whole' if is_whole else 'wrong'
             return True
         text = _stream_text(data) if kind == 'chat' else _body_text(data)
         if text is None:
-            # The stream ended with an error, so nothing false was said.
+            # The stream ended with an error, which is not a wrong answer.
             outcome.state = 'unknown'
             return False
         prompt = json.dumps(body['messages'], sort_keys=True)
-        wanted = engine.answer_of(prompt, 0, body['max_tokens'])
-        outcome.state = 'whole' if text == wanted else 'wrong'
+        expected = engine.answer_of(prompt, 0, body['max_tokens'])
+        outcome.state = 'whole' if text == expected else 'wrong'
         outcome.tokens = body['max_tokens']
         return True
 
 
 def _stream_text(data):
-    """Returns the text of a stream, or None if it did not end whole."""
-    parts = []
+    """Returns the text of a stream, or None if it is incomplete."""
+    pieces = []
     for line in data.decode().splitlines():
         value = line.removeprefix('data: ')
         if value == '[DONE]':
-            return ''.join(parts)
+            return ''.join(pieces)
         if value.startswith('{'):
             event = json.loads(value)
             if 'error' in event:
                 return None
             delta = event['choices'][0].get('delta', {})
-            parts.append(delta.get('content') or '')
+            pieces.append(delta.get('content') or '')
     return None
 
 
@@ -232,7 +237,7 @@
     """All clients of the demo, each in a thread."""
 
     def __init__(self, count, fleet, names, data_centres, mix):
-        self._stopped = threading.Event()
+        self._stop_requested = threading.Event()
         self._clients = [
             Client(
                 number,
@@ -244,26 +249,26 @@
             for number in range(count)
         ]
         self._threads = [
-            threading.Thread(target=client.run, args=(self._stopped,))
+            threading.Thread(target=client.run, args=(self._stop_requested,))
             for client in self._clients
         ]
 
     def start(self):
-        """Starts to send jobs."""
+        """Starts all clients."""
         for thread in self._threads:
             thread.start()
 
     def change_mix(self, mix):
-        """Changes what all clients ask for."""
+        """Changes the mix of all clients."""
         for client in self._clients:
             client.mix = mix
 
     def stop(self):
-        """Lets each client finish its last job."""
-        self._stopped.set()
+        """Stops all clients, each after its last job."""
+        self._stop_requested.set()
         for thread in self._threads:
             thread.join()
 
     def outcomes(self):
-        """Returns all outcomes so far."""
+        """Returns the JobOutcomes of all finished jobs."""
         return [item for client in self._clients for item in client.outcomes]
--- a/dandelionwinch/tools/demo_fleet.py
+++ b/dandelionwinch/tools/demo_fleet.py
@@ -1,4 +1,4 @@
-"""The world of the demo: stand-ins here, instances as processes."""
+"""The fleet of the demo: stand-ins in this process, instances in others."""
 
 import json
 import pathlib
@@ -24,8 +24,8 @@
 
 INSTANCES_PER_DATA_CENTRE = 2
 READY_TIMEOUT_S = 30.0
-LOG_LINES = 20
-READY_STEP_S = 0.1
+LOG_TAIL_LINES = 20
+READY_POLL_INTERVAL_S = 0.1
 STOP_TIMEOUT_S = 30.0
 ROLE_CHANGE_S = 2.0
 
@@ -45,10 +45,16 @@
 
 
 class Fleet:
-    """Stand-ins of one house and its entry instances.
+    """The stand-ins and entry instances of one deployment.
 
     Args:
-        catalog_path: The house's catalog under examples/.
+        catalog_path: The deployment's catalog under examples/.
+
+    Attributes:
+        folder: Temporary folder of the settings and logs.
+        upstreams: Engine stand-ins by upstream name.
+        services: Service stand-ins by upstream name.
+        journal: The executions of all service stand-ins.
     """
 
     def __init__(self, catalog_path):
@@ -63,29 +69,31 @@
         self.http = urllib3.PoolManager(retries=False, maxsize=64)
 
     def start(self):
-        """Starts stand-ins and instances, and waits until all serve."""
+        """Starts stand-ins and instances, and waits until all are ready."""
         self.store.start()
         self.live_list.start()
-        for item in self.catalog.all('upstream'):
-            self._start_upstream(item)
+        for upstream_cfg in self.catalog.all('upstream'):
+            self._start_upstream(upstream_cfg)
         path = self._write_catalog()
         for data_centre in self.catalog.all('data_centre'):
             for number in range(INSTANCES_PER_DATA_CENTRE):
-                self.instances.append(self._prepare(data_centre, number, path))
+                self.instances.append(
+                    self._configure_instance(data_centre, number, path)
+                )
         for instance in self.instances:
-            self._spawn(instance)
-        self._await_ready()
-
-    def _start_upstream(self, item):
-        pool = self.catalog.get('pool', item.pool)
-        if item.role is settings.Role.SERVICE:
-            server = service.ServiceServer(item.pool, self.journal)
-            self.services[item.name] = server
+            self._start_process(instance)
+        self._wait_until_ready()
+
+    def _start_upstream(self, upstream_cfg):
+        pool = self.catalog.get('pool', upstream_cfg.pool)
+        if upstream_cfg.role is settings.Role.SERVICE:
+            server = service.ServiceServer(upstream_cfg.pool, self.journal)
+            self.services[upstream_cfg.name] = server
         else:
             server = upstream.UpstreamServer(
-                item, pool.model, role_change_s=ROLE_CHANGE_S
+                upstream_cfg, pool.model, role_change_s=ROLE_CHANGE_S
             )
-            self.upstreams[item.name] = server
+            self.upstreams[upstream_cfg.name] = server
         server.start()
 
     def _write_catalog(self):
@@ -94,17 +102,17 @@
             for name, server in (self.upstreams | self.services).items()
         }
         lists = {}
-        for path, bare in self.catalog.docs.items():
+        for path, document in self.catalog.docs.items():
             kind, _, name = path.partition('/')
             if kind == 'upstream':
-                bare = {**bare, 'address': addresses[name]}
+                document = {**document, 'address': addresses[name]}
             plural = f'{kind}s' if kind != 'policy' else 'policies'
-            lists.setdefault(plural, []).append(bare)
+            lists.setdefault(plural, []).append(document)
         path = self.folder / 'catalog.yaml'
         path.write_text(yaml.safe_dump(lists))
         return path
 
-    def _prepare(self, data_centre, number, catalog_path):
+    def _configure_instance(self, data_centre, number, catalog_path):
         addresses = [f'127.0.0.1:{port}' for port in utils.free_ports(3)]
         cfg = settings.InstanceSettings(
             name=f'{data_centre.name.lower()}-{number + 1}',
@@ -114,7 +122,7 @@
             peer_address=addresses[1],
             operator_address=addresses[2],
         )
-        whole = settings.EntrySettings(
+        entry_settings = settings.EntrySettings(
             instance=cfg,
             store=settings.StoreSettings(endpoints=[self.store.address]),
             live_list=settings.LiveListSettings(
@@ -123,13 +131,13 @@
             catalog_file=str(catalog_path),
         )
         path = self.folder / f'{cfg.name}.yaml'
-        plain = json.loads(json.dumps(cattrs.unstructure(whole)))
+        plain = json.loads(json.dumps(cattrs.unstructure(entry_settings)))
         path.write_text(yaml.safe_dump(plain))
         return Instance(cfg, path)
 
-    def _spawn(self, instance):
+    def _start_process(self, instance):
         self.live_list.add(instance.cfg)
-        out = (self.folder / f'{instance.cfg.name}.log').open('ab')
+        log_file = (self.folder / f'{instance.cfg.name}.log').open('ab')
         instance.process = subprocess.Popen(
             [
                 sys.executable,
@@ -139,28 +147,28 @@
                 '--settings',
                 str(instance.path),
             ],
-            stdout=out,
-            stderr=out,
+            stdout=log_file,
+            stderr=log_file,
         )
-        out.close()
+        log_file.close()
 
-    def _await_ready(self):
-        limit = time.monotonic() + READY_TIMEOUT_S
+    def _wait_until_ready(self):
+        deadline = time.monotonic() + READY_TIMEOUT_S
         waiting = list(self.instances)
         while waiting:
             waiting = [i for i in waiting if not self.is_ready(i)]
-            if time.monotonic() > limit:
-                logs = '\n'.join(self._last_lines(i) for i in waiting)
+            if time.monotonic() > deadline:
+                logs = '\n'.join(self._log_tail(i) for i in waiting)
                 raise TimeoutError(f'instances not ready:\n{logs}')
-            time.sleep(READY_STEP_S)
+            time.sleep(READY_POLL_INTERVAL_S)
 
-    def _last_lines(self, instance):
+    def _log_tail(self, instance):
         path = self.folder / f'{instance.cfg.name}.log'
         lines = path.read_text(errors='replace').splitlines()
-        return '\n'.join([instance.cfg.name, *lines[-LOG_LINES:]])
+        return '\n'.join([instance.cfg.name, *lines[-LOG_TAIL_LINES:]])
 
     def is_ready(self, instance):
-        """Tells whether an instance takes new work."""
+        """Returns whether an instance admits new work."""
         try:
             url = f'http://{instance.cfg.client_address}/readyz'
             return self.http.request('GET', url, timeout=1).status == 200
@@ -168,7 +176,10 @@
             return False
 
     def revision_of(self, instance):
-        """Returns the configuration revision in force, or None."""
+        """Returns an instance's configuration revision.
+
+        None if the instance does not respond or reports no revision.
+        """
         url = f'http://{instance.cfg.client_address}/metrics'
         try:
             text = self.http.request('GET', url, timeout=1).data.decode()
@@ -180,26 +191,26 @@
         return None
 
     def kill(self, instance):
-        """Ends an instance without goodbye; its line stays a while."""
+        """Kills an instance without removing it from the live list."""
         instance.process.kill()
         instance.process.wait()
 
     def stop(self, instance):
-        """Asks an instance to stop as planned."""
+        """Starts the graceful stop of an instance."""
         self.live_list.add(instance.cfg, leaving=True)
         instance.process.send_signal(signal.SIGTERM)
 
     def close(self):
-        """Stops all instances and stand-ins that this object started."""
+        """Stops all instances and stand-ins of the fleet."""
         for instance in self.instances:
             if instance.alive:
                 instance.process.send_signal(signal.SIGTERM)
-        limit = time.monotonic() + STOP_TIMEOUT_S
+        deadline = time.monotonic() + STOP_TIMEOUT_S
         for instance in self.instances:
             if instance.process is None:
                 continue
             try:
-                left_s = max(0.1, limit - time.monotonic())
+                left_s = max(0.1, deadline - time.monotonic())
                 instance.process.wait(left_s)
             except subprocess.TimeoutExpired:
                 instance.process.kill()
@@ -209,5 +220,5 @@
             server.close()
 
     def cleanup(self):
-        """Removes the settings and logs."""
+        """Deletes the folder with the settings and logs."""
         shutil.rmtree(self.folder)
--- a/dandelionwinch/tools/explain.py
+++ b/dandelionwinch/tools/explain.py
@@ -1,4 +1,4 @@
-"""Gathers from the logs of many instances what decided one request."""
+"""Explains the handling of a request from the logs of the instances."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 CONTEXT_S = 5.0
 TIMELINE_COLUMNS = ('time', 'instance', 'kind', 'subject', 'detail')
-BELIEF_EVENTS = (
+CONTEXT_EVENTS = (
     'config.applied',
     'orders.sent',
     'store.lost',
@@ -18,24 +18,27 @@
 
 
 @attrs.frozen
-class Line:
-    """One event of a log.
+class LogEvent:
+    """An event that an instance logged.
 
     Attributes:
-        time: Unix seconds by the instance's clock.
+        time: Unix time in seconds by the instance's clock.
+        instance: Name of the instance.
+        name: Name of the event.
+        fields: All other fields of the event.
     """
 
     time: float
     instance: str
-    event: str
+    name: str
     fields: dict
 
 
-def read(lines):
-    """Yields a Line for each event; other text is passed over.
+def read_events(lines):
+    """Yields a LogEvent for each event; other lines are skipped.
 
     Args:
-        lines: Lines of logs, whatever stands before each JSON object.
+        lines: Lines of logs; any text before the JSON object is ignored.
     """
     for text in lines:
         start = text.find('{"at"')
@@ -43,7 +46,7 @@
             continue
         try:
             fields = json.loads(text[start:])
-            yield Line(
+            yield LogEvent(
                 fields.pop('time'),
                 fields.pop('instance'),
                 fields.pop('event'),
@@ -54,69 +57,72 @@
 
 
 def explain(request_id, lines):
-    """Returns the events of a request, and what its instance believed.
+    """Returns the events of a request and their context.
 
-    Beliefs are those of the request's instance about the upstreams it
-    was sent to, and about the store and routes, up to some seconds
-    before the first event of the request.
+    The context consists of the events of the same instances about the
+    upstreams of the request, the store and the configuration, from
+    CONTEXT_S seconds before the first to the last event of the request.
 
     Args:
         request_id: Id of the request.
         lines: Lines of logs.
 
     Returns:
-        A list of Line in order of time; empty if the id is not there.
+        A list of LogEvent in order of time; empty if the logs do not
+        contain the id.
     """
-    events = list(read(lines))
-    own = [e for e in events if e.fields.get('request') == request_id]
-    if not own:
+    events = list(read_events(lines))
+    request_events = [
+        event for event in events if event.fields.get('request') == request_id
+    ]
+    if not request_events:
         return []
-    instances = {e.instance for e in own}
-    first = min(e.time for e in own) - CONTEXT_S
-    last = max(e.time for e in own)
-    upstreams = {e.fields.get('upstream') for e in own}
-    upstreams |= {e.fields.get('decode') for e in own}
-    upstreams |= {e.fields.get('prefill') for e in own}
-    found = [
-        e
-        for e in events
-        if e in own
+    instances = {event.instance for event in request_events}
+    first = min(event.time for event in request_events) - CONTEXT_S
+    last = max(event.time for event in request_events)
+    upstreams = {event.fields.get('upstream') for event in request_events}
+    upstreams |= {event.fields.get('decode') for event in request_events}
+    upstreams |= {event.fields.get('prefill') for event in request_events}
+    selected = [
+        event
+        for event in events
+        if event in request_events
         or (
-            e.event in BELIEF_EVENTS
-            and e.instance in instances
-            and first <= e.time <= last
-            and e.fields.get('upstream') in upstreams | {None}
+            event.name in CONTEXT_EVENTS
+            and event.instance in instances
+            and first <= event.time <= last
+            and event.fields.get('upstream') in upstreams | {None}
         )
     ]
-    return sorted(found, key=lambda e: e.time)
+    return sorted(selected, key=lambda event: event.time)
 
 
-def _details(line, left_out):
+def _details(event, excluded):
     return ' '.join(
         f'{name}={value}'
-        for name, value in line.fields.items()
-        if name not in left_out and value not in ('', None)
+        for name, value in event.fields.items()
+        if name not in excluded and value not in ('', None)
     )
 
 
-def text_of(line):
-    """Returns a Line as one line of text."""
-    details = _details(line, ('at', 'request'))
-    return f'{line.time:.3f} {line.instance} {line.event} {details}'
+def format_event(event):
+    """Formats a LogEvent as one line of text."""
+    details = _details(event, ('at', 'request'))
+    return f'{event.time:.3f} {event.instance} {event.name} {details}'
 
 
 def as_timeline(lines):
-    """Returns the events of logs in the form of the operators' answers."""
+    """Returns the events of logs in the form of a ``show events`` answer."""
     rows = []
-    for line in sorted(read(lines), key=lambda e: e.time):
-        subject = line.fields.get('request') or line.fields.get('upstream')
+    for event in sorted(read_events(lines), key=lambda event: event.time):
+        subject = event.fields.get('request') or event.fields.get('upstream')
         rows.append(
             {
-                'time': line.time,
-                'instance': line.instance,
-                'kind': line.event,
+                'time': event.time,
+                'instance': event.instance,
+                'kind': event.name,
                 'subject': subject or '',
-                'detail': _details(line, ('at', 'request', 'upstream')),
+                'detail': _details(event, ('at', 'request', 'upstream')),
             }
         )
     return {'columns': list(TIMELINE_COLUMNS), 'rows': rows}
