--- a/dandelionwinch/soak/_caller.py
+++ b/dandelionwinch/soak/_caller.py
@@ -42,7 +42,7 @@
     Args:
         name: Name of the caller, a part of its request ids.
         directories: Addresses that resolve a data centre to instances.
-        frontends: Address to connect to, by frontend address.
+        frontends: Address of the proxy by frontend address.
         observations: Observations that all callers share.
         rng: Random generator of this caller.
     """
--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Step:
-    """An action at a time of the run."""
+    """An action that is due at a time of the run."""
 
     at_s: float
     text: str
@@ -177,7 +177,7 @@
     notes: list = attrs.field(factory=list)
 
     def evaluate(self):
-        """Sets whether all guarantees held."""
+        """Sets ``promises_held`` from the other fields."""
         broken = (
             self.doubled
             + self.cut
