--- a/dandelionwinch/bench/_placement.py
+++ b/dandelionwinch/bench/_placement.py
@@ -32,7 +32,7 @@
         report = placement.Report(
             0.0, rng.randrange(30), 0.0, 1000.0, settings.Role.MIXED
         )
-        estimates.report(name, report)
+        estimates.record_report(name, report)
     placer = placement.Placer(estimates, rng)
     pools = _candidate_pools(names)
     started = time.process_time()
@@ -96,4 +96,4 @@
 def _report_all(estimates, names, now):
     for name in names[:50]:
         report = placement.Report(now, 10, 0.0, 1000.0, settings.Role.MIXED)
-        estimates.report(name, report)
+        estimates.record_report(name, report)
--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -329,7 +329,7 @@
         return min(found, key=lambda e: len(e.waiting) + e.decoding())
 
     def report(self, instance, number, report):
-        self._estimates[instance].report(str(number), report)
+        self._estimates[instance].record_report(str(number), report)
 
     def cached(self, instance, number, prefix, tokens):
         now = self._now
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -130,7 +130,7 @@
             return
         if message.role not in set(settings.Role):
             return
-        estimates.report(
+        estimates.record_report(
             message.upstream,
             placement.Report(
                 made_at,
--- a/dandelionwinch/placement/_load.py
+++ b/dandelionwinch/placement/_load.py
@@ -206,7 +206,7 @@
         """Returns all load estimates."""
         return list(self._by_name.values())
 
-    def report(self, name, report):
+    def record_report(self, name, report):
         """Applies a load report of an upstream.
 
         A report is dropped if it is not newer than the present one, or if
@@ -223,7 +223,7 @@
         estimate.record_report(report)
         return True
 
-    def sent(self, name, now, prefill_tokens, kv_tokens, decodes):
+    def record_sent(self, name, now, prefill_tokens, kv_tokens, decodes):
         """Records work that was sent to an upstream."""
         estimate = self._by_name.get(name)
         if estimate is not None:
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -293,7 +293,7 @@
         decodes_here = estimate.role is not settings.Role.PREFILL
         tokens = demand.prompt_tokens - option.hit_tokens
         kv_tokens = demand.prompt_tokens + demand.output_tokens
-        self._estimates.sent(
+        self._estimates.record_sent(
             estimate.name,
             now,
             tokens,
@@ -360,7 +360,9 @@
         )
         chosen = free[index]
         tokens = demand.prompt_tokens + demand.output_tokens
-        self._estimates.sent(chosen.name, now + delay_s, 0.0, tokens, True)
+        self._estimates.record_sent(
+            chosen.name, now + delay_s, 0.0, tokens, True
+        )
         return chosen.name
 
     @staticmethod
