--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -285,7 +285,7 @@
         self._gateway.set_instance_count(
             self.registered.instance_count(self._capacity, now)
         )
-        for name in self._guard.due(now):
+        for name in self._guard.pop_due(now):
             self._remove_upstream(name, now, held=True)
 
     def _remove_upstream(self, name, now, held):
--- a/dandelionwinch/upstreams/_deregistration.py
+++ b/dandelionwinch/upstreams/_deregistration.py
@@ -63,7 +63,7 @@
         """Ends the hold of an upstream whose entry is in the store."""
         self._held_until.pop(upstream_id, None)
 
-    def due(self, now):
+    def pop_due(self, now):
         """Removes and returns the ids whose hold has ended."""
         over = [key for key, at in self._held_until.items() if at <= now]
         for upstream_id in over:
