--- a/dandelionwinch/gateway/_request_handler.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -216,7 +216,7 @@
             upstream.entry.data_centre
         )
         service_s = now - started_at - round_trip_s
-        excess_s = self._fleet.latency_baseline.excess_s(
+        excess_s = self._fleet.latency_baseline.observe(
             self._service, service_s
         )
         upstream.record_success(excess_s, now)
--- a/dandelionwinch/upstreams/_latency.py
+++ b/dandelionwinch/upstreams/_latency.py
@@ -13,7 +13,7 @@
     def __init__(self):
         self._by_service = {}
 
-    def excess_s(self, service, taken_s):
+    def observe(self, service, taken_s):
         """Updates the mean; returns how far a latency is above its limit.
 
         Args:
