--- a/dandelionwinch/bench/_trace.py
+++ b/dandelionwinch/bench/_trace.py
@@ -183,7 +183,7 @@
     Raises:
         SettingsInvalid: With all findings and their places in the file.
     """
-    document = readers.read_document(path)
+    document = readers.read_yaml(path)
     trace = readers.structure(
         document.value, Trace, document.file, document.lines
     )
--- a/dandelionwinch/bench/overload/_load.py
+++ b/dandelionwinch/bench/overload/_load.py
@@ -156,7 +156,7 @@
     Raises:
         SettingsInvalid: With all findings and their places in the file.
     """
-    document = readers.read_document(path)
+    document = readers.read_yaml(path)
     return readers.structure(
         document.value, Load, document.file, document.lines
     )
--- a/dandelionwinch/readers.py
+++ b/dandelionwinch/readers.py
@@ -183,7 +183,7 @@
             self.lines[inner] = line
 
 
-def read_document(path):
+def read_yaml(path):
     """Parses a YAML file.
 
     Raises:
@@ -203,7 +203,7 @@
     Raises:
         SettingsInvalid: With all findings.
     """
-    document = read_document(path)
+    document = read_yaml(path)
     return structure(
         document.value, settings.EntrySettings, document.file, document.lines
     )
@@ -221,7 +221,7 @@
     Raises:
         SettingsInvalid: With all findings of the file.
     """
-    document = read_document(path)
+    document = read_yaml(path)
     docs, paths, findings = _split(document)
     if not findings:
         try:
--- a/dandelionwinch/tools/cli.py
+++ b/dandelionwinch/tools/cli.py
@@ -162,7 +162,7 @@
 
 def _findings_of(path):
     try:
-        document = readers.read_document(path)
+        document = readers.read_yaml(path)
         value = document.value
         if not isinstance(value, dict) or 'instance' not in value:
             readers.read_catalog(path)
