--- a/dandelionwinch/upstreams/__init__.py
+++ b/dandelionwinch/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""The upstreams as one instance sees them: entries, health and latency."""
+"""Registry of the upstreams with the health that one instance observes."""
 
 from dandelionwinch.upstreams._deregistration import DeregistrationGuard
 from dandelionwinch.upstreams._latency import LatencyBaseline
--- a/dandelionwinch/upstreams/_latency.py
+++ b/dandelionwinch/upstreams/_latency.py
@@ -1,7 +1,8 @@
-"""Mean latency of each service, to tell slow answers from usual ones."""
+"""Mean latency of each service, the baseline for slow responses."""
 
 MEAN_GAIN = 0.02
-# Answers differ in size, so only those far above the mean indicate a fault.
+# Responses differ in size, so only a latency far above the mean indicates a
+# fault.
 TOLERANCE_RATIO = 2.0
 
 
@@ -14,14 +15,15 @@
         self._by_service = {}
 
     def observe(self, service, taken_s):
-        """Updates the mean; returns how far a latency is above its limit.
+        """Updates the mean and returns the excess of a latency.
 
         Args:
             service: Name of the service.
-            taken_s: Latency of one answer.
+            taken_s: Latency of one response.
 
         Returns:
-            Seconds above TOLERANCE_RATIO times the mean, 0.0 if below.
+            Seconds above TOLERANCE_RATIO times the previous mean, 0.0 if
+            below it.
         """
         mean_s = self._by_service.get(service, taken_s)
         self._by_service[service] = mean_s + MEAN_GAIN * (taken_s - mean_s)
--- a/dandelionwinch/upstreams/_registry.py
+++ b/dandelionwinch/upstreams/_registry.py
@@ -1,23 +1,32 @@
-"""Upstreams by their entries in the store, with their health."""
+"""Upstreams by their entries in the store, and their observed health."""
 
 import enum
 
 import attrs
 
-# Gains of the moving averages of failures and of excess latency.
+# Gain of the moving average of failed attempts, and the average at which an
+# upstream is ejected.
 FAILURE_GAIN = 0.2
 EJECT_FAILURE_RATIO = 0.5
+# Duration of the first ejection; each later one is longer by the factor.
 INITIAL_EJECT_S = 1.0
 EJECT_GROWTH_FACTOR = 1.5
 MAX_EJECT_S = 8.0
+# Part of a service's upstreams that may be ejected at once.
 MAX_EJECTED_RATIO = 0.5
+# Gain of the moving average of excess latency.
 LATENCY_GAIN = 0.2
-# Age at which a latency sample no longer counts.
+# Age at which the average of excess latency no longer counts; until then its
+# weight declines linearly.
 EXCESS_FADE_S = 2.0
 
 
 class Role(enum.Enum):
-    """What an upstream does with a request."""
+    """What an upstream does with a request.
+
+    PLAIN upstreams are no model engines. PREFILL engines only prefill.
+    DECODE engines decode, and can prefill, too (Role.MIXED in settings).
+    """
 
     PLAIN = 'plain'
     PREFILL = 'prefill'
@@ -26,11 +35,15 @@
 
 @attrs.frozen
 class Entry:
-    """The entry of an upstream in the store, written by itself.
+    """The entry of an upstream in the store, written by the upstream.
 
     Attributes:
-        started_at_ms: Unix millisecond of its start, 0 if not stated.
+        started_at_ms: Unix time of its start in milliseconds, 0 if not
+            stated. It tells one incarnation from the next.
         ready: Whether it accepts new requests.
+        slots: Requests that it can serve at once.
+        cold_s: Remaining time of its cold start, as stated by the upstream;
+            not used in decisions.
     """
 
     id: str
@@ -46,10 +59,12 @@
 
 @attrs.define
 class Upstream:
-    """One incarnation of an upstream as this instance sees it.
+    """One incarnation of an upstream, with its health.
+
+    The health is what this instance observed in its own attempts.
 
     Attributes:
-        gone_at: When its entry vanished, None while it is there.
+        gone_at: Time at which its entry was removed, None if it exists.
         failure_rate: Moving average of failed attempts, 0 to 1.
         excess_s: Moving average of the latency in excess of the expected.
         active: Requests of this instance that are in flight.
@@ -83,12 +98,12 @@
             self.ejections = 0
 
     def recent_excess_s(self, now):
-        """Returns the excess latency, which fades with its age."""
+        """Returns the average excess latency, reduced by its age."""
         fresh = max(0.0, 1.0 - (now - self.observed_at) / EXCESS_FADE_S)
         return max(0.0, self.excess_s) * fresh
 
     def record_failure(self, now):
-        """Records a failed attempt; ejects the upstream after many."""
+        """Records a failed attempt; ejects the upstream if too many failed."""
         self.failure_rate += FAILURE_GAIN * (1.0 - self.failure_rate)
         self.observed_at = now
         if self.failure_rate >= EJECT_FAILURE_RATIO:
@@ -103,7 +118,8 @@
         )
         self.ejected_until = now + span_s
         self.ejections += 1
-        # Below the limit, but one more failure ejects it again.
+        # After the ejection one more failure ejects it again, while one
+        # success takes it further below the limit.
         self.failure_rate = EJECT_FAILURE_RATIO - FAILURE_GAIN / 2
 
 
@@ -118,24 +134,26 @@
         self._lost_at = None
 
     def apply(self, entry):
-        """Applies an entry as it is in the store now.
+        """Adds or updates an upstream by its entry in the store.
+
+        A new incarnation starts with new health.
 
         Returns:
-            Whether this is a new incarnation or a new upstream.
+            Whether this is a new upstream or a new incarnation.
         """
         upstream = self._by_id.get(entry.id)
-        same = (
+        same_incarnation = (
             upstream is not None
             and upstream.entry.started_at_ms == entry.started_at_ms
             and upstream.entry.address == entry.address
         )
-        if same:
+        if same_incarnation:
             upstream.entry = entry
             upstream.gone_at = None
         else:
             self._by_id[entry.id] = Upstream(entry)
         self._index()
-        return not same
+        return not same_incarnation
 
     def remove(self, upstream_id, now):
         """Marks an upstream as gone and returns it, or None."""
@@ -145,7 +163,7 @@
         return upstream
 
     def replace(self, entries, now):
-        """Applies a full listing; upstreams that it lacks are gone."""
+        """Applies a full listing; marks the upstreams not listed as gone."""
         listed = {entry.id for entry in entries}
         for entry in entries:
             self.apply(entry)
@@ -170,7 +188,7 @@
         return self._by_id.get(upstream_id)
 
     def serves(self, upstream):
-        """Tells whether this very incarnation accepts requests now."""
+        """Tells whether this incarnation is current and accepts requests."""
         current = self._by_id.get(upstream.entry.id)
         return (
             current is upstream
@@ -202,8 +220,8 @@
 def available(upstreams, now):
     """Returns the upstreams that are not ejected.
 
-    At most MAX_EJECTED_RATIO of them are left out: beyond that, those
-    whose ejection ends first are returned as well.
+    If more than MAX_EJECTED_RATIO of them are ejected, those whose
+    ejection ends first are returned as well, so that at least half remain.
 
     Args:
         upstreams: Upstreams of one service.
@@ -213,5 +231,6 @@
     if len(admitted) >= len(upstreams) * (1 - MAX_EJECTED_RATIO):
         return admitted
     ranked = sorted(upstreams, key=lambda u: u.ejected_until)
+    # Half of them, rounded up: MAX_EJECTED_RATIO of 0.5 in whole upstreams.
     least = -(-len(upstreams) // 2)
     return ranked[:least]
