--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of a request from one instance's view of the load."""
+"""Chooses the upstream of each request, on the load that one instance sees."""
 
 from dandelionwinch.dispatch._distance import Distances
 from dandelionwinch.dispatch._engines import EnginePlacer
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -1,9 +1,14 @@
 """Places prompts on model engines by cached prefixes and by load.
 
 Requests that share the beginning of their prompts are sent to one engine
-(session affinity), and to another one only if that has been idle. Prompts
-prefilled between the tokens of long answers delay these tokens, so engines
-that decode prefill a smaller share of the prompts than prefill engines.
+(session affinity). If the rate limit of this affinity engine refuses a
+prompt, another engine gets it that is not late and whose rate limit is not
+reduced. Without such an engine the prompt goes to the affinity engine, in
+the background.
+
+Prompts prefilled between the tokens of an answer delay these tokens, so
+engines that decode prefill a smaller share of the prompts than prefill
+engines.
 """
 
 import heapq
@@ -20,29 +25,34 @@
 from dandelionwinch import upstreams
 from dandelionwinch import utils
 
-# Costs of decoding at an engine, in seconds. That of an active request is
-# the range of the random tie-breaker, too.
+# Expected duration of a KV cache transfer, besides the round trip.
 KV_TRANSFER_S = 0.004
+# Costs in the choice of an engine that decodes: of a KV cache transfer from
+# another data centre, of each active request, and of a failure rate of 1. The
+# cost of an active request is also the range of the random tie-breaker.
 FAR_KV_TRANSFER_COST_S = 0.03
-ACTIVE_REQUEST_S = 0.002
-FAILURE_S = 0.2
-# Part of the round trip that counts for short prompts.
+ACTIVE_REQUEST_COST_S = 0.002
+FAILURE_COST_S = 0.2
+# Part of the round trip that counts in the choice for short prompts.
 ROUND_TRIP_RATIO = 0.1
-# Relative shares of the sessions, by how much an engine can prefill. An
-# unpaired prefill engine has no decode engine in its data centre.
+# Relative shares of the sessions: of a prefill engine, of an engine that
+# decodes, and of a prefill engine without a decode engine in its data centre.
 PREFILL_WEIGHT = 2.0
 DECODE_WEIGHT = 0.65
-UNPAIRED_WEIGHT = 0.5
-# Engines considered for the sessions of a full one.
+FAR_PREFILL_WEIGHT = 0.5
+# Engines considered for a prompt that its affinity engine refuses.
 MAX_FALLBACK_ENGINES = 4
-# Background prompts of all instances at an engine, by slot of the engine.
+# Limit of the background prompts of all instances, for each slot of an engine,
+# and the factor on it for late prompts.
 BACKGROUND_PER_SLOT = 2.2
 LATE_BACKGROUND_RATIO = 1.3
-# Part of the allowed token gap above which prompts are slowed down.
+# Part of the allowed token gap above which the rate limit is decreased.
 TOKEN_GAP_RATIO = 0.7
 # Delay of an engine above which it gets no more background prompts.
 MAX_BACKGROUND_DELAY_S = 0.25
-DECODE_SLOT_RATIO = 0.6
+# Part of an engine's slots that short prompts fill before they are sent to the
+# next group of engines.
+SHORT_PROMPT_SLOT_RATIO = 0.6
 # Delay of the preferred decode engine from which the others in the data
 # centre are considered as well.
 MAX_PREFERRED_DELAY_S = 0.1
@@ -51,6 +61,8 @@
 class EnginePlacer:
     """Chooses engines for prompts and adapts to their responses.
 
+    The record_... methods are called as a placed prompt proceeds.
+
     Attributes:
         instance_count: Instances that share the engines, as the capacity of
             all of them in units of the own one.
@@ -97,65 +109,84 @@
             A Placement, or None if no engine has capacity for it.
         """
         untried = [e for e in candidates if e.entry.id not in exclude]
-        unchanging = [e for e in untried if e.role_change_until <= now]
-        usable = upstreams.available(unchanging or untried, now)
+        # Engines that may be changing their role are the last resort.
+        stable = [e for e in untried if e.role_change_until <= now]
+        usable = upstreams.available(stable or untried, now)
         groups = _groups.group_engines(usable)
         if groups is None:
             return None
 
-        def placed(chosen, priority_class):
-            return self._placement(
+        def make_placement(chosen, priority_class):
+            return self._make_placement(
                 prompt, chosen, groups, priority_class, late, objective_s, now
             )
 
         if prompt.short:
             chosen = self._choose_for_short(groups, now)
-            return placed(chosen, _prompts.PriorityClass.ANSWER)
+            return make_placement(chosen, _prompts.PriorityClass.ANSWER)
         allowed = groups.decode if direct else groups.prefill
-        affine = self._affine(prompt, allowed, groups, now)
+        affinity_engines = self._affinity_engines(prompt, allowed, groups, now)
         if not late:
-            idle = self._idle(prompt, allowed, groups, objective_s, now)
-            others = (e for e in idle if e not in affine)
-            for engine in itertools.chain(affine, others):
+            fallback = self._fallback_engines(
+                prompt, allowed, groups, objective_s, now
+            )
+            others = (e for e in fallback if e not in affinity_engines)
+            for engine in itertools.chain(affinity_engines, others):
                 tokens = prompt.tokens - self._prefix_cache.hit_tokens(
                     prompt, engine.entry.id, now
                 )
-                if self._admits(engine, tokens, groups, objective_s, now):
-                    return placed(engine, _prompts.PriorityClass.URGENT)
-        for engine in affine:
+                if self._try_admit(engine, tokens, groups, objective_s, now):
+                    return make_placement(
+                        engine, _prompts.PriorityClass.URGENT
+                    )
+        for engine in affinity_engines:
             if self._has_background_capacity(engine, groups, late, now):
-                return placed(engine, _prompts.PriorityClass.BACKGROUND)
+                return make_placement(
+                    engine, _prompts.PriorityClass.BACKGROUND
+                )
         return None
 
-    def _affine(self, prompt, allowed, groups, now):
-        """Returns the engines that may prefill a prompt, in this order.
+    def _affinity_engines(self, prompt, allowed, groups, now):
+        """Returns the engines for a prompt of a session, best first.
 
         A session has one engine: another one would prefill its blocks
         again and evict others for them. If the KV cache transfers of that
         engine are stalled, the decode-only engines follow, as they can
         prefill and decode without a transfer.
         """
-        rank = self._rank(prompt, groups)
-        engines = [max(allowed, key=rank)]
+        score = self._session_score(prompt, groups)
+        engines = [max(allowed, key=score)]
         if self._is_stalled(engines[0], groups, now):
             others = [e for e in groups.decode_only if e not in engines]
-            engines += sorted(others, key=rank, reverse=True)
+            engines += sorted(others, key=score, reverse=True)
         return engines
 
-    def _idle(self, prompt, allowed, groups, objective_s, now):
-        """Yields engines that have been idle, for sessions of full ones."""
+    def _fallback_engines(self, prompt, allowed, groups, objective_s, now):
+        """Yields engines for a prompt that its affinity engine refuses.
+
+        These are engines that are not late and whose rate limit is not
+        reduced, best first.
+        """
         low_s = _rate_limiter.INCREASE_DELAY_RATIO * objective_s
-        rank = self._rank(prompt, groups)
-        for engine in heapq.nlargest(MAX_FALLBACK_ENGINES, allowed, key=rank):
-            unreduced = self._limiter(engine, now).is_unreduced()
-            if unreduced and self._delay_s(engine, now) < low_s:
+        score = self._session_score(prompt, groups)
+        for engine in heapq.nlargest(MAX_FALLBACK_ENGINES, allowed, key=score):
+            is_unreduced = self._limiter(engine, now).is_unreduced()
+            if is_unreduced and self._delay_s(engine, now) < low_s:
                 yield engine
 
     def _is_stalled(self, engine, groups, now):
         near = groups.has_local_decoder(engine)
         return self._transfers.is_stalled(engine, near, now)
 
-    def _admits(self, engine, tokens, groups, objective_s, now):
+    def _try_admit(self, engine, tokens, groups, objective_s, now):
+        """Spends a prompt's tokens at the rate limiter of an engine.
+
+        The rate is decreased first if a prompt or a KV cache transfer of
+        the engine is overdue.
+
+        Returns:
+            Whether the prompt is admitted.
+        """
         limiter = self._limiter(engine, now)
         overdue_s = self._overdue.overdue_s(engine.entry.id, now)
         high_s = _rate_limiter.DECREASE_DELAY_RATIO * objective_s
@@ -164,7 +195,10 @@
         return limiter.admit(tokens, now)
 
     def _choose_for_short(self, groups, now):
-        """Returns the engine for a short prompt and its answer."""
+        """Returns the engine for a short prompt and its answer.
+
+        Engines that only decode are filled first, then the mixed ones.
+        """
 
         def cost_s(engine):
             return self._short_cost_s(engine, now)
@@ -176,20 +210,25 @@
         return min(groups.decode, key=cost_s)
 
     def peak_decodes(self, now):
-        """Returns the recent peak of decodes, estimated for all instances."""
+        """Returns the recent peak of decodes, that is of short prompts.
+
+        The peak of this instance is scaled up to all instances.
+        """
         return self._in_flight.peak_decodes(now) * self.instance_count
 
     def _has_slot(self, engine):
-        slots = DECODE_SLOT_RATIO * engine.entry.slots / self.instance_count
+        slots = (
+            SHORT_PROMPT_SLOT_RATIO * engine.entry.slots / self.instance_count
+        )
         return self._in_flight.decodes(engine.entry.id) < max(1.0, slots)
 
     def _short_cost_s(self, engine, now):
         return (
-            ACTIVE_REQUEST_S * engine.active
+            ACTIVE_REQUEST_COST_S * engine.active
             + self._delay_s(engine, now)
             + self._round_trip_s(engine) * ROUND_TRIP_RATIO
-            + FAILURE_S * engine.failure_rate
-            + self._rng.random() * ACTIVE_REQUEST_S
+            + FAILURE_COST_S * engine.failure_rate
+            + self._rng.random() * ACTIVE_REQUEST_COST_S
         )
 
     def _has_background_capacity(self, engine, groups, late, now):
@@ -208,13 +247,14 @@
         if engine.entry.role is not upstreams.Role.PREFILL:
             return DECODE_WEIGHT
         near = groups.has_local_decoder(engine)
-        return PREFILL_WEIGHT if near else UNPAIRED_WEIGHT
+        return PREFILL_WEIGHT if near else FAR_PREFILL_WEIGHT
 
-    def _rank(self, prompt, groups):
-        """Returns the function that ranks engines for a prompt's session.
+    def _session_score(self, prompt, groups):
+        """Returns a function that scores engines for a prompt's session.
 
-        It is rendezvous hashing by the last shared block, so all instances
-        rank alike.
+        It is weighted rendezvous hashing by the last shared block, so the
+        scores are equal at all instances. A prompt that shares no block
+        has a random engine.
         """
         key = (
             prompt.shared_blocks[-1][0]
@@ -237,7 +277,7 @@
             self._limiters[engine.entry.id] = limiter
         return limiter
 
-    def _placement(
+    def _make_placement(
         self, prompt, chosen, groups, priority_class, late, objective_s, now
     ):
         tokens = prompt.tokens - self._prefix_cache.hit_tokens(
@@ -268,20 +308,20 @@
         )
 
     def _choose_decoder(self, prefill, groups, now):
-        """Returns the engine to decode what another one prefills."""
+        """Returns the engine to decode what another one has prefilled."""
 
         def cost_s(engine):
-            return self._handover_cost_s(engine, prefill, now)
+            return self._decoder_cost_s(engine, prefill, now)
 
-        first = min(groups.preferred_decoders(prefill), key=cost_s)
-        if self._delay_s(first, now) < MAX_PREFERRED_DELAY_S:
-            return first
+        preferred = min(groups.preferred_decoders(prefill), key=cost_s)
+        if self._delay_s(preferred, now) < MAX_PREFERRED_DELAY_S:
+            return preferred
         # Not in another region: a link that carries KV caches ten times
         # as slowly would fill up and stay full.
-        return min(groups.local_decoders(prefill) or [first], key=cost_s)
+        return min(groups.local_decoders(prefill) or [preferred], key=cost_s)
 
     def _delay_s(self, engine, now):
-        """Returns the delay of an engine, by late and overdue responses."""
+        """Returns the delay of an engine, by late or overdue responses."""
         overdue_s = self._overdue.overdue_s(engine.entry.id, now)
         return max(overdue_s, engine.recent_excess_s(now))
 
@@ -301,15 +341,15 @@
             return None
         return self._choose_decoder(placement.prefill, groups, now)
 
-    def _handover_cost_s(self, engine, prefill, now):
+    def _decoder_cost_s(self, engine, prefill, now):
         near = engine.entry.data_centre == prefill.entry.data_centre
         return (
             self._round_trip_s(engine)
             + (0.0 if near else FAR_KV_TRANSFER_COST_S)
             + self._delay_s(engine, now)
-            + ACTIVE_REQUEST_S * engine.active
-            + FAILURE_S * engine.failure_rate
-            + self._rng.random() * ACTIVE_REQUEST_S
+            + ACTIVE_REQUEST_COST_S * engine.active
+            + FAILURE_COST_S * engine.failure_rate
+            + self._rng.random() * ACTIVE_REQUEST_COST_S
         )
 
     def _round_trip_s(self, engine):
@@ -319,47 +359,51 @@
         return self._prefill_rates.get(engine.entry)
 
     def record_sent(self, prompt, placement, now):
-        """Records that a prompt is sent to its first engine."""
+        """Records that a prompt is sent to the engine that prefills it."""
         upstream_id = placement.prefill_engine.entry.id
-        self._prefix_cache.sent(prompt, upstream_id, now)
+        self._prefix_cache.record(prompt, upstream_id, now)
         if placement.priority_class is _prompts.PriorityClass.URGENT:
             due_at = now + placement.expected_s
-            self._overdue.sent(upstream_id, placement, due_at)
-        self._in_flight.sent(placement, now)
+            self._overdue.add(upstream_id, placement, due_at)
+        self._in_flight.add(placement, now)
 
     def record_transfer(self, placement, now):
-        """Records that a prefilled prompt is sent to its decode engine."""
+        """Records that a KV cache transfer to the decode engine begins."""
         decode = placement.decode
         due_at = now + KV_TRANSFER_S + self._round_trip_s(decode)
-        self._overdue.sent(decode.entry.id, placement, due_at)
-        self._transfers.sent(placement, due_at)
+        self._overdue.add(decode.entry.id, placement, due_at)
+        self._transfers.add(placement, due_at)
 
     def record_kv_handle_refused(self, placement, now):
-        """Records that a decode engine refused the handle of a prefill."""
+        """Records that a decode engine refused a KV cache handle.
+
+        It counts as a failure of the engine that prefilled.
+        """
         placement.prefill.record_failure(now)
         self._decode_responded(placement)
 
     def _decode_responded(self, placement):
-        """Records the first token of an answer, or that none will come."""
-        self._overdue.done(placement.decode.entry.id, placement)
-        self._transfers.done(placement)
+        """Removes the due times of the response of the decode engine."""
+        self._overdue.remove(placement.decode.entry.id, placement)
+        self._transfers.remove(placement)
 
     def record_end(self, placement):
-        """Records that a request has ended at its engines."""
-        self._overdue.done(placement.prefill_engine.entry.id, placement)
+        """Records that a request has ended, with or without a response."""
+        self._overdue.remove(placement.prefill_engine.entry.id, placement)
         self._decode_responded(placement)
-        self._in_flight.ended(placement)
+        self._in_flight.remove(placement)
 
     def record_prefill(self, placement, taken_s, now):
-        """Records a prefill whose answer another engine decodes.
+        """Records the end of a prefill whose answer another engine decodes.
 
         Args:
-            placement: Where the prompt was placed.
-            taken_s: Seconds until the handle arrived, with the round trip.
+            placement: The Placement of the prompt.
+            taken_s: Seconds until the KV cache handle arrived, with the
+                round trip.
             now: Time in seconds.
         """
         engine = placement.prefill
-        self._overdue.done(engine.entry.id, placement)
+        self._overdue.remove(engine.entry.id, placement)
         tokens = placement.uncached_tokens
         expected_s = self._round_trip_s(engine) + tokens / self._prefill_rate(
             engine
@@ -370,8 +414,9 @@
         """Records the first token of an answer and its delay.
 
         Args:
-            placement: Where the prompt was placed.
-            taken_s: Seconds until it arrived from the decode engine.
+            placement: The Placement of the prompt.
+            taken_s: Seconds until it arrived, since the request to the
+                decode engine.
             now: Time in seconds.
         """
         decode = placement.decode
@@ -385,7 +430,7 @@
         self._observe(decode, placement, taken_s, placement.expected_s, now)
 
     def _observe_transfer(self, placement, excess_s, now):
-        """Slows down a prefill engine whose far KV transfers are late."""
+        """Decreases the rate of a prefill engine if a far transfer is late."""
         prefill = placement.prefill
         far = prefill.entry.data_centre != placement.decode.entry.data_centre
         if far and excess_s > _transfers.FAR_DELAY_S:
@@ -394,9 +439,11 @@
     def _observe(self, engine, placement, taken_s, expected_s, now):
         """Updates health, prefill rate and rate limit of an engine.
 
-        Only prompts of the class URGENT update the rates.
+        Only prompts of the class URGENT update the two rates.
         """
         if placement.priority_class is _prompts.PriorityClass.BACKGROUND:
+            # It waits behind all others, so its latency is no sample. The
+            # average itself as the sample leaves the average unchanged.
             engine.record_success(engine.excess_s, now)
             return
         excess_s = taken_s - expected_s
@@ -418,12 +465,12 @@
         )
 
     def record_token_gap(self, placement, gap_s, allowed_s, now):
-        """Slows down the prompts of an engine after a long token gap.
+        """Decreases the rate limit of an engine after a long token gap.
 
         Args:
-            placement: Where the prompt was placed.
+            placement: The Placement of the prompt.
             gap_s: Time between two events of an answer.
-            allowed_s: Longest allowed time, 0 for no limit.
+            allowed_s: Longest allowed gap, 0 for no limit.
             now: Time in seconds.
         """
         if allowed_s and gap_s > TOKEN_GAP_RATIO * allowed_s:
--- a/dandelionwinch/dispatch/_groups.py
+++ b/dandelionwinch/dispatch/_groups.py
@@ -1,9 +1,9 @@
-"""Divides the engines of a service into those that prefill and that decode.
+"""Divides the engines of a service into groups that prefill or decode.
 
 A prompt that is prefilled between the tokens of an answer delays them, and
 a KV cache takes ten times as long to another region. So each prefill engine
-is paired with an engine in its data centre that only decodes; the remaining
-engines prefill and decode.
+is paired with a decode engine in its data centre that is reserved for
+decoding; the remaining decode engines prefill and decode.
 """
 
 import functools
@@ -13,8 +13,10 @@
 from dandelionwinch import upstreams
 from dandelionwinch import utils
 
-ORDER_KEY = 'answers'
-ORDER_CACHE_SIZE = 4096
+# Salt of the hash by which decode engines are sorted before pairing, so that
+# all instances reserve the same ones.
+SORT_SALT = 'answers'
+SORT_CACHE_SIZE = 4096
 
 
 @attrs.frozen
@@ -22,9 +24,10 @@
     """The engines of one service by what they do with long prompts.
 
     Attributes:
-        prefill: Engines that may prefill long prompts.
-        decode_only: Engines that are reserved for decoding.
-        mixed: Engines that prefill prompts and decode their answers.
+        prefill: Engines that may prefill long prompts: those of
+            Role.PREFILL and the mixed ones.
+        decode_only: Engines of Role.DECODE that are reserved for decoding.
+        mixed: The other engines of Role.DECODE. They also prefill.
         decode_data_centres: Data centres with an engine that decodes.
     """
 
@@ -43,10 +46,10 @@
         return engine.entry.data_centre in self.decode_data_centres
 
     def preferred_decoders(self, engine):
-        """Returns the engines to decode what another one has prefilled.
+        """Returns the engines preferred to decode what another one prefilled.
 
-        These are the reserved ones in its data centre, else the mixed ones
-        there, else all that decode.
+        These are the decode-only ones in its data centre, else the mixed
+        ones there, else all that decode.
         """
         data_centre = engine.entry.data_centre
         for group in (self.decode_only, self.mixed):
@@ -76,7 +79,8 @@
         (prefill if is_prefill else decode).append(engine)
     if not decode:
         return None
-    decode.sort(key=lambda e: _order(e.entry.id))
+    decode.sort(key=lambda e: _sort_key(e.entry.id))
+    # Prefill engines that are not paired yet, by data centre.
     unpaired = {}
     for engine in prefill:
         data_centre = engine.entry.data_centre
@@ -96,7 +100,7 @@
     )
 
 
-@functools.lru_cache(maxsize=ORDER_CACHE_SIZE)
-def _order(upstream_id):
+@functools.lru_cache(maxsize=SORT_CACHE_SIZE)
+def _sort_key(upstream_id):
     """Returns the sort key of an engine, the same at all instances."""
-    return utils.stable_hash(ORDER_KEY, upstream_id)
+    return utils.stable_hash(SORT_SALT, upstream_id)
--- a/dandelionwinch/dispatch/_in_flight.py
+++ b/dandelionwinch/dispatch/_in_flight.py
@@ -4,14 +4,16 @@
 
 from dandelionwinch.dispatch import _prompts
 
+# Time constant with which the peak decays.
 PEAK_DECAY_S = 6.0
 
 
 class InFlight:
-    """Decodes and background prompts by engine, and the peak of decodes.
+    """Counts of decodes and background prompts by engine, and their peak.
 
-    A decode is a request of the class ANSWER. Requests of the class URGENT
-    are not counted.
+    A decode is a request of the class ANSWER: a short prompt, most of whose
+    work is to decode the answer. The class URGENT is not counted. The peak
+    is that of decodes at all engines.
     """
 
     __slots__ = ('_background', '_decodes', '_peak', '_peak_at')
@@ -33,23 +35,23 @@
     def peak_decodes(self, now):
         """Returns the recent peak of decodes at all engines.
 
-        The peak decays exponentially with the time constant PEAK_DECAY_S.
+        The peak decays exponentially.
         """
         decayed = self._peak * math.exp((self._peak_at - now) / PEAK_DECAY_S)
         return max(sum(self._decodes.values()), decayed)
 
-    def sent(self, placement, now):
+    def add(self, placement, now):
         """Counts a request that is sent to an engine."""
-        self._add(placement, 1)
+        self._count(placement, 1)
         if placement.priority_class is _prompts.PriorityClass.ANSWER:
             self._peak = self.peak_decodes(now)
             self._peak_at = now
 
-    def ended(self, placement):
-        """Removes a request that an engine no longer has."""
-        self._add(placement, -1)
+    def remove(self, placement):
+        """Removes a request that has ended."""
+        self._count(placement, -1)
 
-    def _add(self, placement, change):
+    def _count(self, placement, delta):
         match placement.priority_class:
             case _prompts.PriorityClass.ANSWER:
                 counts = self._decodes
@@ -58,8 +60,8 @@
             case _:
                 return
         upstream_id = placement.prefill_engine.entry.id
-        left = counts.get(upstream_id, 0) + change
-        if left:
-            counts[upstream_id] = left
+        count = counts.get(upstream_id, 0) + delta
+        if count:
+            counts[upstream_id] = count
         else:
             counts.pop(upstream_id, None)
--- a/dandelionwinch/dispatch/_plain.py
+++ b/dandelionwinch/dispatch/_plain.py
@@ -1,4 +1,4 @@
-"""Load balancing for plain services: distance against load.
+"""Load balancing for plain services by distance and load.
 
 Calls of a plain service are short and of similar size. So the nearest
 upstream is preferred in spite of small differences in load, and a farther
@@ -7,9 +7,10 @@
 
 from dandelionwinch import upstreams
 
-# Cost of one active request, and the range of the random tie-breaker.
-ACTIVE_REQUEST_S = 0.004
-FAILURE_S = 0.2
+# Cost of each active request, which is also the range of the random
+# tie-breaker, and cost of a failure rate of 1.
+ACTIVE_REQUEST_COST_S = 0.004
+FAILURE_COST_S = 0.2
 
 
 def choose_plain(candidates, exclude, distances, rng, now):
@@ -19,7 +20,7 @@
         candidates: Upstreams that accept requests.
         exclude: Ids of upstreams already tried.
         distances: Distances from this instance.
-        rng: Source of randomness for ties.
+        rng: Source of random numbers, to break ties.
         now: Time in seconds.
 
     Returns:
@@ -33,10 +34,10 @@
     def cost_s(upstream):
         return (
             distances.round_trip_s(upstream.entry.data_centre)
-            + ACTIVE_REQUEST_S * upstream.active
-            + FAILURE_S * upstream.failure_rate
+            + ACTIVE_REQUEST_COST_S * upstream.active
+            + FAILURE_COST_S * upstream.failure_rate
             + upstream.recent_excess_s(now)
-            + rng.random() * ACTIVE_REQUEST_S
+            + rng.random() * ACTIVE_REQUEST_COST_S
         )
 
     return min(usable, key=cost_s)
--- a/dandelionwinch/dispatch/_prefill_rates.py
+++ b/dandelionwinch/dispatch/_prefill_rates.py
@@ -10,21 +10,23 @@
 # samples are mostly due to queueing.
 INCREASE_GAIN = 0.05
 DECREASE_GAIN = 0.005
+# A larger sample is reduced to this ratio to the present rate.
 MAX_SAMPLE_RATIO = 4.0
+# A smaller prompt is no sample.
 MIN_SAMPLE_TOKENS = 1000
 
 
 class PrefillRates:
     """Prompt tokens per second, by service and role."""
 
-    __slots__ = ('_by_kind',)
+    __slots__ = ('_by_service_and_role',)
 
     def __init__(self):
-        self._by_kind = {}
+        self._by_service_and_role = {}
 
     def get(self, entry):
         """Returns the prefill rate of an upstream, by its entry."""
-        found = self._by_kind.get((entry.service, entry.role))
+        found = self._by_service_and_role.get((entry.service, entry.role))
         if found is not None:
             return found
         if entry.role is upstreams.Role.PREFILL:
@@ -45,5 +47,5 @@
         rate = self.get(entry)
         gain = INCREASE_GAIN if sample > rate else DECREASE_GAIN
         rate += gain * (min(sample, MAX_SAMPLE_RATIO * rate) - rate)
-        kind = (entry.service, entry.role)
-        self._by_kind[kind] = max(MIN_TOKENS_PER_S, rate)
+        key = (entry.service, entry.role)
+        self._by_service_and_role[key] = max(MIN_TOKENS_PER_S, rate)
--- a/dandelionwinch/dispatch/_prefix_cache.py
+++ b/dandelionwinch/dispatch/_prefix_cache.py
@@ -1,5 +1,6 @@
 """Estimates which prefix blocks each engine has in its cache."""
 
+# Time for which a sent block counts as cached.
 BLOCK_TTL_S = 8.0
 MAX_BLOCKS = 20_000
 
@@ -22,8 +23,11 @@
             hit += tokens
         return min(hit, prompt.tokens)
 
-    def sent(self, prompt, upstream_id, now):
-        """Records the blocks of a sent prompt; evicts the oldest ones."""
+    def record(self, prompt, upstream_id, now):
+        """Records the blocks of a prompt that is sent to an engine.
+
+        Above MAX_BLOCKS the blocks that were sent least recently are dropped.
+        """
         for block_id, _tokens in prompt.shared_blocks:
             engines = self._sent_at.pop(block_id, None) or {}
             engines[upstream_id] = now
--- a/dandelionwinch/dispatch/_prompts.py
+++ b/dandelionwinch/dispatch/_prompts.py
@@ -10,11 +10,12 @@
 
 
 class PriorityClass(enum.Enum):
-    """How urgent a prompt is at its engine.
+    """Class of a prompt from which its priority at the engine follows.
 
-    ANSWER is a short prompt, most of whose work is to decode its answer;
-    URGENT a long prompt within the rate limit of its engine; BACKGROUND
-    one beyond it, or one that misses its latency objective in any case.
+    ANSWER is a short prompt, most of whose work is to decode its answer.
+    URGENT is a long prompt within the rate limit of its engine. BACKGROUND
+    is a long prompt beyond that limit, or one that can no longer meet its
+    latency objective.
     """
 
     ANSWER = 'answer'
@@ -22,22 +23,25 @@
     BACKGROUND = 'background'
 
 
-# Priorities at the engine, from 0 (first) to 9. A prompt that another
-# engine has prefilled occupies its engine for the shortest time.
+# Priorities at the engine, from 0 (first) to 9. A prompt that another engine
+# has prefilled is the first of them, as it occupies its engine for the
+# shortest time.
 PREFILLED_PRIORITY = 1
 PRIORITIES = {PriorityClass.ANSWER: 2, PriorityClass.URGENT: 5}
 LATE_PRIORITY = 6
+# Sizes that divide the other background prompts into the priorities 7 to 9.
 BACKGROUND_SIZES_TOKENS = (1500, 4000)
 
 
 @attrs.frozen
 class Prompt:
-    """The work of a generation at an engine.
+    """A prompt with the sizes of its parts and of its answer.
 
     Attributes:
         tokens: Size of the prompt.
         output_tokens: Size of the answer.
-        prefix_blocks: Ids and sizes in tokens of its blocks, in order.
+        prefix_blocks: Id and size in tokens of each of its blocks, in order.
+            The last one belongs to this prompt alone.
     """
 
     tokens: int
@@ -46,12 +50,12 @@
 
     @property
     def shared_blocks(self):
-        """Returns the blocks that other prompts may have too."""
+        """Returns the blocks that other prompts may have, too."""
         return self.prefix_blocks[:-1]
 
     @property
     def short(self):
-        """Tells whether its prefill is little work."""
+        """Tells whether it is short enough for the class ANSWER."""
         return self.tokens < SHORT_PROMPT_TOKENS
 
 
@@ -60,13 +64,15 @@
     """The engines that prefill a prompt and decode its answer.
 
     Attributes:
-        prefill: Upstream that only prefills, None if `decode` does it.
+        prefill: Upstream that only prefills, None if `decode` also
+            prefills.
         decode: Upstream that decodes.
-        late: Whether its latency objective can no longer be met.
+        late: Whether the latency objective can no longer be met.
         objective_s: Latency objective of the first token.
         uncached_tokens: Prompt tokens that are probably not cached.
-        expected_s: Latency without queueing, with the round trip.
-        terms: The terms of the decision, for the log.
+        expected_s: Expected latency of the first token without queueing,
+            with the round trip.
+        terms: Description of the decision, for the log.
     """
 
     prefill: object
@@ -82,9 +88,9 @@
     def priority(self):
         """Returns the priority at the engine, 0 (first) to 9.
 
-        Among background prompts small ones go first, since many of them
-        are served in the time of a large one. Late ones, such as retries,
-        go before all of these, since they are not retried again.
+        Late background prompts, such as retries, go before the others,
+        since they are not retried again. Among the others small prompts go
+        first, since many of them are served in the time of a large one.
         """
         if self.priority_class is not PriorityClass.BACKGROUND:
             return PRIORITIES[self.priority_class]
--- a/dandelionwinch/dispatch/_rate_limiter.py
+++ b/dandelionwinch/dispatch/_rate_limiter.py
@@ -2,8 +2,8 @@
 
 Instances that share an engine don't see each other's requests, so the
 queue of the engine shows only in the delay of first tokens. Each instance
-lowers its own rate by a factor while they are late, and raises it by a
-fixed step while they are early (AIMD), so that the rates converge to
+decreases its own rate by a factor while first tokens are late, and increases
+it by a fixed step while they are early (AIMD), so that the rates converge to
 shares of the engine.
 """
 
@@ -14,21 +14,24 @@
 DECREASE_DELAY_RATIO = 0.22
 INCREASE_DELAY_RATIO = 0.11
 DECREASE_FACTOR = 0.85
-# Added to the rate at each step, as a part of the engine's prefill rate.
+# Added to the rate at each increase, as a part of the engine's prefill rate.
 INCREASE_RATIO = 0.04
-MIN_STEP_S = 0.08
-# Rates as parts of the engine's prefill rate; the minimum and the initial
-# rate are divided by the number of instances.
+# Minimum time between two changes of the rate.
+MIN_STEP_INTERVAL_S = 0.08
+# Rates as parts of the engine's prefill rate. The minimum and the initial rate
+# are then divided by the number of instances. The maximum is not, and bounds
+# the initial rate, too.
 MIN_RATE_RATIO = 0.15
 MAX_RATE_RATIO = 1.0
 INITIAL_RATE_RATIO = 1.5
-# Part of the initial rate from which on a rate counts as not reduced.
+# Part of the initial rate from which a rate counts as not reduced.
 UNREDUCED_RATIO = 0.9
 # Size of the bucket in seconds of the rate.
 BURST_S = 0.05
+# Moving average of the size of prompts: its gain and its initial value.
 MEAN_GAIN = 0.05
 INITIAL_MEAN_TOKENS = 3000.0
-# Bounds of the size of a prompt relative to the mean, as powers of two.
+# Bounds of the size of a prompt relative to the mean, in powers of two.
 MAX_HALVINGS = 2.0
 MAX_DOUBLINGS = 0.8
 # Balance that a prompt needs for each doubling, in seconds of the rate.
@@ -39,18 +42,19 @@
     """A token bucket whose rate is adjusted by the delay of first tokens.
 
     Rates are prompt tokens per second. A prompt of mean size is admitted
-    while the balance is above zero, and may overdraw it.
+    while the balance is above zero; a larger prompt needs a higher balance,
+    a smaller one a lower balance. An admitted prompt may overdraw it.
     """
 
     __slots__ = (
         '_balance',
         '_changed_at',
         '_instance_count',
-        '_limited',
         '_mean_tokens',
         '_prefill_rate',
         '_rate',
         '_refilled_at',
+        '_refused',
     )
 
     def __init__(self, prefill_rate, instance_count, now):
@@ -62,7 +66,7 @@
         self._balance = self._rate * BURST_S
         self._refilled_at = now
         self._changed_at = now
-        self._limited = False
+        self._refused = False
         self._mean_tokens = INITIAL_MEAN_TOKENS
 
     def admit(self, tokens, now):
@@ -72,18 +76,18 @@
             Whether the prompt is admitted.
         """
         self._refill(now)
-        if self._balance <= self._required_balance(tokens):
-            self._limited = True
+        if self._balance <= self._update_required_balance(tokens):
+            self._refused = True
             return False
         self._balance -= tokens
         return True
 
-    def _required_balance(self, tokens):
+    def _update_required_balance(self, tokens):
         """Returns the balance above which a prompt is admitted.
 
-        A prompt smaller than the mean may overdraw the balance, since many
-        of them are served in the time of one large prompt. A larger prompt
-        waits for a positive balance.
+        It is negative for a prompt smaller than the mean, since many of
+        them are served in the time of one large prompt, and positive for a
+        larger prompt. The mean is updated with the size of the prompt.
         """
         tokens = max(1, tokens)
         doublings = math.log2(tokens / self._mean_tokens)
@@ -102,28 +106,31 @@
     ):
         """Adjusts the rate to the delay of one first token.
 
+        The rate is increased only if it has refused a prompt since the last
+        increase: a rate that is not used up need not grow.
+
         Args:
             excess_s: Latency in excess of what the prompt itself needs.
             objective_s: Latency objective of the first token.
             prefill_rate: Estimated prefill rate of the engine.
-            instance_count: Instances that share the engine, in units of the
-                own capacity.
+            instance_count: Instances that share the engine, as the capacity
+                of all of them in units of the own one.
             now: Time in seconds.
         """
         self._prefill_rate = prefill_rate
         self._instance_count = instance_count
         if excess_s > DECREASE_DELAY_RATIO * objective_s:
             self.decrease(now)
-        elif excess_s < INCREASE_DELAY_RATIO * objective_s and self._limited:
-            self._limited = False
+        elif excess_s < INCREASE_DELAY_RATIO * objective_s and self._refused:
+            self._refused = False
             self._set_rate(self._rate + INCREASE_RATIO * prefill_rate, now)
 
     def decrease(self, now):
-        """Decreases the rate by one step."""
+        """Decreases the rate, unless it changed within the step interval."""
         self._set_rate(self._rate * DECREASE_FACTOR, now)
 
     def _set_rate(self, rate, now):
-        if now - self._changed_at < MIN_STEP_S:
+        if now - self._changed_at < MIN_STEP_INTERVAL_S:
             return
         self._refill(now)
         least = MIN_RATE_RATIO * self._prefill_rate / self._instance_count
--- a/dandelionwinch/dispatch/_roles.py
+++ b/dandelionwinch/dispatch/_roles.py
@@ -2,15 +2,17 @@
 
 The roles may not fit the load, as after a crash, when engines restart in
 their initial role. Each data centre needs a decode engine for each of its
-prefill engines, and half of its engines prefill if the others can carry
-the decodes.
+prefill engines, and half of its engines prefill if the other half has slots
+for the decodes.
 """
 
 import attrs
 
 from dandelionwinch import upstreams
 
-DECODE_SLOT_RATIO = 0.8
+# Part of the slots of decode engines that decodes may use, once one of these
+# engines prefills.
+MAX_SLOT_USE_RATIO = 0.8
 
 
 @attrs.frozen
@@ -26,7 +28,8 @@
 
     Args:
         engines: Upstreams of a service that accept requests.
-        decodes: Peak number of concurrent long answers.
+        decodes: Peak number of concurrent decodes, that is of short prompts
+            in flight at all instances.
 
     Returns:
         A RoleChange, or None if no change is needed.
@@ -51,10 +54,10 @@
 
 
 def _has_spare_slots(engines, decodes):
-    """Tells whether the decodes fit with one engine less."""
+    """Tells whether the decodes fit in the slots of one engine less."""
     slots = sum(e.entry.slots for e in engines)
     least = min((e.entry.slots for e in engines), default=0)
-    return decodes <= DECODE_SLOT_RATIO * (slots - least)
+    return decodes <= MAX_SLOT_USE_RATIO * (slots - least)
 
 
 def _is_prefill(engine):
