--- a/dandelionwinch/dispatch/_roles.py
+++ b/dandelionwinch/dispatch/_roles.py
@@ -1,8 +1,8 @@
 """Plans the next role change of an engine.
 
 The roles may not fit the load, as after a crash, when engines restart in
-their initial role. Each data centre needs a decode engine for each of its
-prefill engines, and half of its engines prefill if the other half has slots
+their initial role. Each data centre needs a decode engine, and at most one
+prefill engine more than it has decode engines; and half of its engines prefill if the other half has slots
 for the decodes.
 """
 
@@ -54,7 +54,7 @@
 
 
 def _has_spare_slots(engines, decodes):
-    """Tells whether the decodes fit in the slots of one engine less."""
+    """Tells whether the decodes fit if the smallest engine prefills."""
     slots = sum(e.entry.slots for e in engines)
     least = min((e.entry.slots for e in engines), default=0)
     return decodes <= MAX_SLOT_USE_RATIO * (slots - least)
--- a/dandelionwinch/placement/_load.py
+++ b/dandelionwinch/placement/_load.py
@@ -6,14 +6,16 @@
 
 from dandelionwinch import settings
 
+# Duration of the ejection after a first failure. It doubles with each further
+# failure until the next load report.
 INITIAL_EJECT_S = 0.5
 MAX_EJECT_S = 15.0
-# Part of the prefill rate that chunked prefill beside decodes reaches.
+# Part of the prefill rate that chunked prefill between decodes reaches.
 CHUNK_EFFICIENCY = 0.8
 # Parts of the allowed token gap and of the largest batch that are used.
 GAP_RATIO = 0.95
 BATCH_RATIO = 0.9
-# A report of more running jobs, by the largest batch, cannot be true.
+# A report of more running jobs than this many largest batches is implausible.
 MAX_RUNNING_FACTOR = 20
 MAX_SENT_RECORDS = 512
 
@@ -23,11 +25,11 @@
     """The load that an upstream reports.
 
     Attributes:
-        made_at: Time at which the upstream made it.
-        running: Jobs that decode.
+        made_at: Time at which the upstream made the report.
+        running: Number of jobs that are decoding.
         waiting_tokens: Prompt tokens that are not prefilled yet.
         kv_tokens: Tokens in the KV cache.
-        away: Whether it is changing its role and accepts no work.
+        away: Whether it is changing its role and so accepts no work.
     """
 
     made_at: float
@@ -40,6 +42,8 @@
 
 @attrs.frozen
 class _Sent:
+    """Work that this instance sent to an upstream."""
+
     at: float
     prefill_tokens: float
     kv_tokens: float
@@ -48,17 +52,21 @@
 
 @attrs.define
 class LoadEstimate:
-    """Load of one upstream, by its last report and what was sent since.
+    """Load of one upstream, by its last report and the work sent since.
 
     Attributes:
         prefill_rate: Prompt tokens per second.
         decode_rate: Output tokens per second.
         kv_capacity: Tokens that fit in the KV cache.
         max_batch: Largest number of jobs that decode at once.
-        sent: Work sent since the last report.
+        report: The last report, None before the first.
+        sent: Work of this instance sent since the last report.
         sent_decodes: Number of jobs in `sent` that decode.
         sent_kv_tokens: KV cache tokens of the jobs in `sent`.
-        held: Whether it gets no new work, as before a change.
+        ejected_until: Time up to which it gets work only if there is no
+            other upstream.
+        failures: Failures since the last report, at most 10.
+        held: Whether it gets no new work, as before a role change.
     """
 
     name: str
@@ -77,16 +85,16 @@
     held: bool = False
 
     def usable(self, now):
-        """Tells whether new work may be placed here."""
-        return self.allowed() and now >= self.ejected_until
+        """Tells whether it accepts work and is not ejected."""
+        return self.accepts_work() and now >= self.ejected_until
 
-    def allowed(self):
-        """Tells whether work may be placed here, ejection apart."""
+    def accepts_work(self):
+        """Tells whether it is neither held nor changing its role."""
         away = self.report is not None and self.report.away
         return not (self.held or away)
 
     def record_sent(self, item):
-        """Records work that was sent here."""
+        """Records work that was sent to the upstream."""
         if len(self.sent) >= MAX_SENT_RECORDS:
             self._drop_oldest()
         self.sent.append(item)
@@ -107,13 +115,16 @@
             self._drop_oldest()
 
     def backlog(self, now, rate, inflow=0.0):
-        """Returns prompt tokens that wait here, by a fluid model.
+        """Returns the prompt tokens that wait to be prefilled.
+
+        This is a fluid model: the tokens reported decrease at a constant
+        rate, and those sent by this instance since then are added.
 
         Args:
             now: Time in seconds.
             rate: Prompt tokens per second that the upstream prefills.
             inflow: Prompt tokens per second that other instances have
-                sent since the last report.
+                sent to it since the last report.
         """
         tokens = 0.0
         last = now
@@ -122,27 +133,27 @@
             last = self.report.made_at
         elif self.sent:
             last = min(now, self.sent[0].at)
-        net = rate - inflow
+        net_rate = rate - inflow
         for item in self.sent:
             if not item.prefill_tokens:
                 continue
-            tokens = max(0.0, tokens - net * (item.at - last))
+            tokens = max(0.0, tokens - net_rate * (item.at - last))
             tokens += item.prefill_tokens
             last = item.at
-        return max(0.0, tokens - net * (now - last))
+        return max(0.0, tokens - net_rate * (now - last))
 
     def decoding(self):
-        """Returns the number of jobs that decode here."""
+        """Returns the number of decoding jobs, reported and sent since."""
         reported = self.report.running if self.report else 0
         return reported + self.sent_decodes
 
     def kv_used(self):
-        """Returns the number of tokens in the KV cache."""
+        """Returns the tokens in the KV cache, reported and sent since."""
         reported = self.report.kv_tokens if self.report else 0.0
         return reported + self.sent_kv_tokens
 
     def chunk_share(self, gap_s):
-        """Returns the part of its time for prefill in chunks, 0 to 1.
+        """Returns the part of its time left for chunked prefill, 0 to 1.
 
         As its batch fills up, an upstream needs its time for decoding. A
         prompt prefilled then would delay more answers than it starts.
@@ -161,7 +172,7 @@
         return self.prefill_rate * CHUNK_EFFICIENCY * share
 
     def slots(self, gap_s):
-        """Returns how many jobs can decode here within the token gap."""
+        """Returns how many jobs can decode at once within the token gap."""
         by_gap = self.decode_rate * gap_s * GAP_RATIO
         return int(min(self.max_batch * BATCH_RATIO, by_gap))
 
@@ -179,24 +190,24 @@
 
         Args:
             upstreams: Iterable of LoadEstimate with the configured rates
-                and sizes; reports and sent work of upstreams that stay
-                are copied to them.
+                and sizes. The load and health of upstreams that stay are
+                copied to them.
         """
-        fresh = {}
+        by_name = {}
         for upstream in upstreams:
-            present = self._by_name.get(upstream.name)
-            if present is not None:
-                upstream.report = present.report
-                upstream.sent = present.sent
-                upstream.sent_decodes = present.sent_decodes
-                upstream.sent_kv_tokens = present.sent_kv_tokens
-                upstream.ejected_until = present.ejected_until
-                upstream.failures = present.failures
-                upstream.held = present.held
-                if present.report is not None:
-                    upstream.role = present.role
-            fresh[upstream.name] = upstream
-        self._by_name = fresh
+            previous = self._by_name.get(upstream.name)
+            if previous is not None:
+                upstream.report = previous.report
+                upstream.sent = previous.sent
+                upstream.sent_decodes = previous.sent_decodes
+                upstream.sent_kv_tokens = previous.sent_kv_tokens
+                upstream.ejected_until = previous.ejected_until
+                upstream.failures = previous.failures
+                upstream.held = previous.held
+                if previous.report is not None:
+                    upstream.role = previous.role
+            by_name[upstream.name] = upstream
+        self._by_name = by_name
 
     def get(self, name):
         """Returns a LoadEstimate, or None."""
@@ -209,8 +220,8 @@
     def record_report(self, name, report):
         """Applies a load report of an upstream.
 
-        A report is dropped if it is not newer than the present one, or if
-        it is implausible.
+        A report is dropped if it is not newer than the last one, or if it
+        is implausible.
 
         Returns:
             Whether the report was applied.
@@ -240,7 +251,7 @@
         ]
 
     def record_failure(self, name, now):
-        """Ejects a failed upstream, with exponential backoff."""
+        """Ejects an upstream after a failure, with exponential backoff."""
         estimate = self._by_name.get(name)
         if estimate is None:
             return
--- a/dandelionwinch/placement/_owner.py
+++ b/dandelionwinch/placement/_owner.py
@@ -4,7 +4,7 @@
 part of what is sent. Independent decisions on old reports can spread jobs,
 but can't join the shortest queue. One owner that decides for the whole data
 centre has the record of all that was sent. It only improves the placement:
-an instance that gets no response from it decides itself.
+an instance that gets no response from it places the job itself.
 """
 
 import attrs
--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -7,16 +7,23 @@
 from dandelionwinch.placement import _water_filling
 from dandelionwinch import settings
 
+# Upstreams of a pool considered for a job; in a larger pool they are drawn at
+# random.
 MAX_CANDIDATES = 16
+# Expected duration of a KV cache transfer to the upstream that decodes.
 KV_TRANSFER_S = 0.005
 # Part of its prefill rate below which an upstream gets no prompts.
 MIN_SPEED_RATIO = 0.05
+# Time constant of the average rates that this instance sends.
 RATE_SPAN_S = 5.0
+# Gain of the moving averages of the sizes of jobs.
 MEAN_GAIN = 0.05
+# Least share of a pool's free slots that this instance uses.
 MIN_OWN_RATIO = 0.02
-# Assumed of the peers until their rates are known: far more than they send.
+# Assumed rate of the peers until it is known: far more than they send.
 UNKNOWN_PEER_TOKENS_PER_S = 1.0e7
-# Part of the time for queued prompts that counts against a decode upstream.
+# Part of the time for queued prompts that is added to the token gap in the
+# choice of a decode upstream, as they are prefilled between its tokens.
 CHUNK_WEIGHT = 0.05
 
 
@@ -27,7 +34,8 @@
     Attributes:
         data_centre: Data centre of the client.
         prefix: Hash of the beginning of the prompt.
-        prefix_tokens: Largest number of prompt tokens that may be cached.
+        prefix_tokens: Prompt tokens of that beginning, the most that may be
+            cached.
         max_wait_s: Longest useful wait for the first token.
         gap_s: Longest allowed time between tokens.
         exclude: Names of upstreams that must not be chosen.
@@ -59,14 +67,15 @@
 
 @attrs.frozen
 class Choice:
-    """Where a job runs.
+    """The upstreams that run a job.
 
     Attributes:
-        prefill: Upstream that prefills the prompt.
-        decode: Upstream that decodes the answer; may be the same.
-        first_token_s: Expected wait for the first token.
-        hit_tokens: Prompt tokens expected in the upstream's cache.
-        terms: The terms of the decision, for operators.
+        prefill: Name of the upstream that prefills the prompt.
+        decode: Name of the upstream that decodes the answer: the same or
+            another, or '' if no other has capacity at present.
+        first_token_s: Expected time to the first token.
+        hit_tokens: Prompt tokens expected in the cache of `prefill`.
+        terms: Description of the decision, for operators.
     """
 
     prefill: str
@@ -90,6 +99,13 @@
 
 @attrs.frozen
 class _Option:
+    """An upstream that can prefill a job, with the times expected there.
+
+    Attributes:
+        estimate: LoadEstimate of the upstream.
+        speed: Prompt tokens per second that it can prefill now.
+    """
+
     estimate: object
     wait_s: float
     prefill_s: float
@@ -105,7 +121,9 @@
 class Placer:
     """Places the jobs of one instance.
 
-    Many instances place jobs at the same time, on reports of some age.
+    Many instances place jobs at the same time, on reports of some age. So
+    an instance uses only its share of the free slots, and distributes its
+    jobs by water-filling.
 
     Attributes:
         prefixes: The PrefixIndex.
@@ -126,12 +144,14 @@
         self._rng = rng
         self._own_rates = {}
         self._peer_rates = None
+        # Mean uncached prompt tokens and output tokens of a job, assumed
+        # until the first jobs.
         self._mean_tokens = 1000.0
         self._mean_output = 200.0
         self.prefixes = _prefixes.PrefixIndex()
 
     def set_peer_rates(self, rates):
-        """Sets the rates that all other instances send together.
+        """Sets the total rates that all other instances send.
 
         Args:
             rates: Prompt tokens per second by name of the pool.
@@ -139,13 +159,13 @@
         self._peer_rates = rates
 
     def own_rates(self, now):
-        """Returns the own prompt tokens per second by name of the pool."""
+        """Returns the prompt tokens per second that it sends, by pool name."""
         return {name: rate.read(now) for name, rate in self._own_rates.items()}
 
     def place(self, demand, pools, now):
         """Chooses the upstreams of a job.
 
-        A farther pool is considered only while no nearer one can start the
+        A farther pool is considered only if no nearer one can start the
         job within half of the longest useful wait.
 
         Args:
@@ -167,6 +187,7 @@
             if best.total_s <= demand.max_wait_s / 2:
                 break
         if best is None:
+            # There is no expected wait from which a delay follows.
             return Refusal('no upstream takes this work at present', 1.0)
         if best.total_s > demand.max_wait_s:
             return Refusal(
@@ -176,7 +197,8 @@
         return self._commit(best, demand, now, pools)
 
     def _best_in(self, pool, demand, hits, now):
-        usable = self._usable(pool, demand, now)
+        """Returns the _Option chosen in a pool, None if it has no capacity."""
+        usable = self._candidates(pool, demand, now)
         share = self._own_share(pool, now)
         decoders = [
             e for e in usable if self._has_capacity(e, demand, share, now)
@@ -196,33 +218,43 @@
         if not prefillers:
             return None
         peer_rate = self._peer_rate(pool)
-        inflow = 0.0
+        # Peers are assumed to load all upstreams in proportion to their speed.
+        # While their rates are unknown no inflow is counted: the rate assumed
+        # then serves only to spread jobs.
+        inflow_ratio = 0.0
         if self._peer_rates is not None:
-            inflow = peer_rate / sum(speed for _estimate, speed in prefillers)
+            inflow_ratio = peer_rate / sum(
+                speed for _estimate, speed in prefillers
+            )
         options = [
-            self._option(estimate, speed, inflow, demand, hits, pool, now)
+            self._option(
+                estimate, speed, inflow_ratio, demand, hits, pool, now
+            )
             for estimate, speed in prefillers
         ]
         return self._choose(options, peer_rate, now)
 
-    def _usable(self, pool, demand, now):
+    def _candidates(self, pool, demand, now):
+        """Returns the upstreams of a pool that a job may use.
+
+        Ejected upstreams are returned only if there is no other.
+        """
         names = pool.upstreams
         if len(names) > MAX_CANDIDATES:
             names = self._rng.sample(names, MAX_CANDIDATES)
         found = [self._estimates.get(name) for name in names]
-        allowed = [
+        accepts_work = [
             estimate
             for estimate in found
             if estimate is not None
             and estimate.name not in demand.exclude
-            and estimate.allowed()
+            and estimate.accepts_work()
         ]
-        # Ejected upstreams are used only if there is no other.
-        usable = [e for e in allowed if now >= e.ejected_until]
-        return usable or allowed
+        usable = [e for e in accepts_work if now >= e.ejected_until]
+        return usable or accepts_work
 
     def _peer_rate(self, pool):
-        """Returns prompt tokens per second that peers send to a pool.
+        """Returns the prompt tokens per second that peers send to a pool.
 
         Until their rates are known a very high rate is assumed, so that
         instances that start together spread their jobs.
@@ -241,7 +273,7 @@
         return max(MIN_OWN_RATIO, own / (own + peers))
 
     def _has_capacity(self, estimate, demand, share, now):
-        """Tells whether this instance may add a job to a batch.
+        """Tells whether this instance may add a job to the decode batch.
 
         All instances see the same free slots. Each uses only its share of
         them, and of those that finishing jobs free until the next report.
@@ -257,12 +289,13 @@
             age_s = max(0.0, now - estimate.report.made_at)
         free = estimate.slots(demand.gap_s) - running
         free += age_s * estimate.decode_rate / self._mean_output
+        # A fraction of a slot is rounded up or down at random.
         return estimate.sent_decodes + self._rng.random() < share * free
 
     @staticmethod
-    def _option(estimate, speed, inflow, demand, hits, pool, now):
+    def _option(estimate, speed, inflow_ratio, demand, hits, pool, now):
         hit_tokens = min(hits.get(estimate.name, 0.0), demand.prefix_tokens)
-        backlog = estimate.backlog(now, speed, inflow * speed)
+        backlog = estimate.backlog(now, speed, inflow_ratio * speed)
         wait_s = backlog / speed
         prefill_s = (demand.prompt_tokens - hit_tokens) / speed
         return _Option(
@@ -281,6 +314,7 @@
 
     @staticmethod
     def _mean_report_age_s(estimates, now):
+        """Returns the mean age of the last reports, 1.0 without any."""
         ages = [
             now - estimate.report.made_at
             for estimate in estimates
@@ -289,6 +323,7 @@
         return sum(ages) / len(ages) if ages else 1.0
 
     def _commit(self, option, demand, now, pools):
+        """Records the chosen option as sent work; returns the Choice."""
         estimate = option.estimate
         decodes_here = estimate.role is not settings.Role.PREFILL
         tokens = demand.prompt_tokens - option.hit_tokens
@@ -320,6 +355,7 @@
         return Choice(estimate.name, decode, first_s, option.hit_tokens, terms)
 
     def _record_own(self, option, demand, pools, tokens, now):
+        """Updates the own rate of the pool and the mean sizes of jobs."""
         name = option.estimate.name
         pool = next(pool for pool in pools if name in pool.upstreams)
         rate = self._own_rates.get(pool.name)
@@ -346,28 +382,33 @@
         share = self._own_share(pool, now)
         free = [
             estimate
-            for estimate in self._usable(pool, demand, now)
+            for estimate in self._candidates(pool, demand, now)
             if self._has_capacity(estimate, demand, share, now)
         ]
         if not free:
             return None
         jobs_per_s = self._peer_rate(pool) / self._mean_tokens
         index = _water_filling.choose_by_filling(
-            [self._decode_level(estimate, now) for estimate in free],
+            [self._token_gap_s(estimate, now) for estimate in free],
             [estimate.decode_rate for estimate in free],
             jobs_per_s * self._mean_report_age_s(free, now),
             self._rng,
         )
         chosen = free[index]
         tokens = demand.prompt_tokens + demand.output_tokens
+        # Dated to the end of the prefill: reports made before do not include
+        # this work.
         self._estimates.record_sent(
             chosen.name, now + delay_s, 0.0, tokens, True
         )
         return chosen.name
 
     @staticmethod
-    def _decode_level(estimate, now):
-        """Returns the token gap, with the delay by queued prompts."""
+    def _token_gap_s(estimate, now):
+        """Returns the expected token gap with one more job, for the choice.
+
+        A part of the time that the queued prompts need is added.
+        """
         busy_s = estimate.backlog(now, estimate.prefill_rate)
         busy_s /= estimate.prefill_rate
         return (estimate.decoding() + 1) / estimate.decode_rate + (
--- a/dandelionwinch/placement/_prefixes.py
+++ b/dandelionwinch/placement/_prefixes.py
@@ -4,6 +4,7 @@
 
 import attrs
 
+# Age at which the information on a cached prefix is dropped.
 PREFIX_TTL_S = 120.0
 MAX_PREFIXES = 8192
 MAX_UPSTREAMS_PER_PREFIX = 4
@@ -17,11 +18,11 @@
 
 
 class PrefixIndex:
-    """Upstreams by cached prefix, each with the age of the information.
+    """Upstreams by cached prefix, with the age of each piece of information.
 
     Cache events arrive late and with gaps, and engines evict without an
-    event. So the expected hit declines with its age, and is dropped after
-    PREFIX_TTL_S.
+    event. So the expected number of cached tokens declines with the age
+    from half of PREFIX_TTL_S on, and is dropped after PREFIX_TTL_S.
     """
 
     __slots__ = ('_hits',)
@@ -48,7 +49,7 @@
         """Returns the expected number of cached tokens by upstream."""
         expected = {}
         for hit in self._hits.get(prefix, ()):
-            trust = 1 - (now - hit.at) / PREFIX_TTL_S
-            if trust > 0:
-                expected[hit.upstream] = hit.tokens * min(1.0, 0.5 + trust)
+            freshness = 1 - (now - hit.at) / PREFIX_TTL_S
+            if freshness > 0:
+                expected[hit.upstream] = hit.tokens * min(1.0, 0.5 + freshness)
         return expected
--- a/dandelionwinch/placement/_roles.py
+++ b/dandelionwinch/placement/_roles.py
@@ -5,11 +5,12 @@
 from dandelionwinch.placement import _load
 from dandelionwinch import settings
 
+# Part of the capacity that is planned to be used.
 TARGET_USE_RATIO = 0.85
-# A change must gain this part of the demand, plus a part that grows with
+# A role change must gain this part of the demand, plus the second part times
 # the change weight of the policy.
-GOODPUT_WEIGHT = 0.02
-CHANGE_WEIGHT = 0.25
+MIN_GAIN_RATIO = 0.02
+GAIN_PER_CHANGE_WEIGHT = 0.25
 
 
 @attrs.frozen
@@ -30,9 +31,11 @@
     """A role change whose gain exceeds its cost.
 
     Attributes:
-        gain: Expected part of the demand that it saves over the horizon,
-            after its costs.
-        terms: The terms of the decision, for operators.
+        upstream: Name of the upstream.
+        role: The role that it is to change to.
+        gain: Expected part of the demand over the horizon that the change
+            saves, after its costs.
+        terms: Description of the decision, for operators.
     """
 
     upstream: str
@@ -46,8 +49,8 @@
 
     Args:
         capacity: Number of upstreams by role.
-        prefill_load: Prefill work, in fully used upstreams.
-        decode_load: Decode work, in fully used upstreams.
+        prefill_load: Prefill work, as a number of fully used upstreams.
+        decode_load: Decode work, as a number of fully used upstreams.
     """
     prefill = capacity.prefill * TARGET_USE_RATIO
     decode = capacity.decode * TARGET_USE_RATIO
@@ -55,6 +58,9 @@
     share = 1.0
     if decode_load > 0:
         share = min(share, decode / decode_load)
+    # Decode upstreams prefill in the time that decodes leave, at a lower
+    # rate: share * prefill_load <= prefill + efficiency * (decode - share *
+    # decode_load), solved for the share.
     work = prefill_load + efficiency * decode_load
     if work > 0:
         share = min(share, (prefill + efficiency * decode) / work)
@@ -73,9 +79,11 @@
 
     Args:
         estimates: LoadEstimate of each upstream of the pool.
-        rates: Pairs of prompt and output tokens per second.
+        rates: Pairs of prompt and output tokens per second, as
+            Trend.rates returns them.
         policy: The policy of the pool.
-        away: Number of upstreams that are changing their role.
+        away: Number of upstreams that are changing their role. No change
+            is planned if the policy allows no more at once.
         now: Time in seconds.
 
     Returns:
@@ -96,7 +104,7 @@
 
 
 def _evaluate(usable, rates, policy, wanted, now):
-    """Returns the RoleChange of one upstream to a role, None if no gain."""
+    """Returns the best RoleChange to a role, None if none has a gain."""
     movable = [e for e in usable if _is_prefill(e) != _prefills(wanted)]
     if not movable:
         return None
@@ -135,7 +143,16 @@
 
 
 def _gain(pair, usable, present, after, during, policy):
-    """Returns the part of the demand saved by a change, after its costs."""
+    """Returns the part of the demand saved by a change, after its costs.
+
+    Args:
+        pair: Prompt and output tokens per second.
+        usable: LoadEstimates of the usable upstreams.
+        present: The Capacity before the change.
+        after: The Capacity after it.
+        during: The Capacity while one upstream changes its role.
+        policy: The policy of the pool.
+    """
     count = len(usable)
     prefill_rate = sum(e.prefill_rate for e in usable) / count
     decode_rate = sum(e.decode_rate for e in usable) / count
@@ -147,5 +164,7 @@
     saved = (after_share - present_share) * (policy.horizon_s - away_s)
     lost = (present_share - during_share) * away_s
     weight = policy.change_weight
-    price = (GOODPUT_WEIGHT + CHANGE_WEIGHT * weight) * policy.horizon_s
-    return (saved - lost - price) / policy.horizon_s
+    margin = (
+        MIN_GAIN_RATIO + GAIN_PER_CHANGE_WEIGHT * weight
+    ) * policy.horizon_s
+    return (saved - lost - margin) / policy.horizon_s
--- a/dandelionwinch/placement/_trend.py
+++ b/dandelionwinch/placement/_trend.py
@@ -1,9 +1,10 @@
-"""Smoothed demand of a pool over a short and a long time span."""
+"""Demand of a pool, averaged over a short and a long time span."""
 
 import math
 
 import attrs
 
+# Time constant of the short average.
 SHORT_SPAN_S = 10.0
 
 
--- a/dandelionwinch/placement/_water_filling.py
+++ b/dandelionwinch/placement/_water_filling.py
@@ -2,16 +2,17 @@
 
 
 def choose_by_filling(levels, rates, arrivals, rng):
-    """Chooses a candidate so that many choosers level the load.
+    """Chooses a candidate so that many instances even out the load.
 
-    Between two reports many instances decide on the same figures. If each
+    Between two reports many instances choose by the same numbers. If each
     chose the lowest level, all would choose the same upstream. Instead the
     work expected from all of them is distributed over the candidates so
-    that their levels become equal, and one is drawn in proportion to the
-    work that it received. If no work is expected the lowest is chosen.
+    that their levels become equal, and a candidate is drawn in proportion
+    to the work that it received. If no work is expected, the candidate with
+    the lowest level is chosen.
 
     Args:
-        levels: Seconds of waiting at each candidate.
+        levels: Expected wait at each candidate, in seconds.
         rates: Work per second that each candidate completes.
         arrivals: Work expected from others before the next report.
         rng: Source of random numbers.
@@ -39,7 +40,7 @@
 
 
 def _water_level(order, levels, rates, arrivals):
-    """Returns the common level after the work is distributed."""
+    """Returns the common level after the expected work is distributed."""
     rate = 0.0
     filled = 0.0
     level = levels[order[0]]
