--- a/dandelionwinch/placement/_placer.py
+++ b/dandelionwinch/placement/_placer.py
@@ -187,7 +187,7 @@
             if best.total_s <= demand.max_wait_s / 2:
                 break
         if best is None:
-            # There is no expected wait from which a delay follows.
+            # No expected wait is known, so the client retries after 1 s.
             return Refusal('no upstream takes this work at present', 1.0)
         if best.total_s > demand.max_wait_s:
             return Refusal(
@@ -243,15 +243,15 @@
         if len(names) > MAX_CANDIDATES:
             names = self._rng.sample(names, MAX_CANDIDATES)
         found = [self._estimates.get(name) for name in names]
-        accepts_work = [
+        accepting = [
             estimate
             for estimate in found
             if estimate is not None
             and estimate.name not in demand.exclude
             and estimate.accepts_work()
         ]
-        usable = [e for e in accepts_work if now >= e.ejected_until]
-        return usable or accepts_work
+        usable = [e for e in accepting if now >= e.ejected_until]
+        return usable or accepting
 
     def _peer_rate(self, pool):
         """Returns the prompt tokens per second that peers send to a pool.
@@ -276,7 +276,7 @@
         """Tells whether this instance may add a job to the decode batch.
 
         All instances see the same free slots. Each uses only its share of
-        them, and of those that finishing jobs free until the next report.
+        them, and of those that jobs have freed since the last report.
         """
         if estimate.role is settings.Role.PREFILL:
             return False
@@ -370,6 +370,8 @@
     def choose_decode(self, demand, pool, now, delay_s=0.0):
         """Chooses the upstream that decodes a prefilled prompt.
 
+        The job is recorded as sent to it.
+
         Args:
             demand: The Demand of the job.
             pool: The pool in which it is prefilled.
@@ -387,6 +389,8 @@
         ]
         if not free:
             return None
+        # A level is a number of jobs by the decode rate, so the work of the
+        # peers is counted in jobs, too.
         jobs_per_s = self._peer_rate(pool) / self._mean_tokens
         index = _water_filling.choose_by_filling(
             [self._token_gap_s(estimate, now) for estimate in free],
--- a/dandelionwinch/readers.py
+++ b/dandelionwinch/readers.py
@@ -15,20 +15,20 @@
 from dandelionwinch import settings
 
 
-def _exact_type_hook(kind):
+def _exact_type_hook(cls):
     """Returns a structure hook that rejects values of another type.
 
     An int is accepted as a float, but a bool is not accepted as an int.
     """
 
     def hook(value, _type):
-        fits = isinstance(value, kind)
-        if isinstance(value, bool) and kind is not bool:
+        fits = isinstance(value, cls)
+        if isinstance(value, bool) and cls is not bool:
             fits = False
-        if kind is float and type(value) is int:
+        if cls is float and type(value) is int:
             return float(value)
         if not fits:
-            raise TypeError(f'{value!r} is not of type {kind.__name__}')
+            raise TypeError(f'{value!r} is not of type {cls.__name__}')
         return value
 
     return hook
@@ -36,11 +36,11 @@
 
 def _converter():
     converter = cattrs.Converter(forbid_extra_keys=True)
-    for kind in (str, int, float, bool):
+    for cls in (str, int, float, bool):
         # By identity: a string enumeration is a subclass of str, but must
         # not be read as a plain string.
         converter.register_structure_hook_func(
-            functools.partial(operator.is_, kind), _exact_type_hook(kind)
+            functools.partial(operator.is_, cls), _exact_type_hook(cls)
         )
     return converter
 
@@ -60,14 +60,15 @@
             return str(exc) or type(exc).__name__
 
 
-def structure(raw, kind, file, lines=None):
+def structure(raw, cls, file, lines=None):
     """Structures plain values into an instance of an attrs class.
 
     Args:
         raw: Mapping as read from YAML or JSON.
-        kind: The attrs class.
+        cls: The attrs class.
         file: File name for the findings.
-        lines: Line numbers by path, or None if the source has none.
+        lines: Line numbers by path of the value, such as `$.store.kind`, or
+            None if the source has no lines.
 
     Returns:
         An instance of the class.
@@ -79,12 +80,12 @@
         finding = errors.Finding(file, 1, '$', 'a mapping is expected')
         raise errors.SettingsInvalid([finding])
     try:
-        return CONVERTER.structure(raw, kind)
+        return CONVERTER.structure(raw, cls)
     except cattrs_errors.ClassValidationError as exc:
-        found = dict(_validation_errors(raw, kind, '$'))
+        found = dict(_validation_errors(raw, cls, '$'))
         for text in cattrs.transform_error(exc, format_exception=_describe):
             message, _, path = text.rpartition(' @ ')
-            # The error of a validator is reported for the object, too.
+            # cattrs reports a validator's error again, for the whole object.
             if message not in found.values():
                 found.setdefault(path, message)
         findings = [
@@ -94,14 +95,14 @@
         raise errors.SettingsInvalid(findings) from exc
 
 
-def _validation_errors(raw, kind, path):
+def _validation_errors(raw, cls, path):
     """Yields the path and the message of each value that is invalid.
 
-    Needed since the class itself stops at the first failed validator.
+    The class itself stops at the first validator that fails.
     """
-    if not isinstance(raw, dict) or not attrs.has(kind):
+    if not isinstance(raw, dict) or not attrs.has(cls):
         return
-    for field in attrs.fields(attrs.resolve_types(kind)):
+    for field in attrs.fields(attrs.resolve_types(cls)):
         if field.name not in raw:
             continue
         value, inner_path = raw[field.name], f'{path}.{field.name}'
@@ -119,12 +120,12 @@
         except ValueError as exc:
             yield inner_path, str(exc.args[0])
         except (TypeError, AttributeError):
-            # A wrong type is reported by the structuring itself.
+            # A wrong type is already a finding of the structuring.
             continue
 
 
 def _line_of(path, lines):
-    """Returns the line of a path or of its nearest parent, else 0."""
+    """Returns the line of a path or of its nearest parent, 0 if none."""
     while path and path not in lines:
         cut = max(path.rfind('.'), path.rfind('['))
         if cut <= 0:
@@ -133,8 +134,15 @@
     return lines.get(path, 0)
 
 
-class _Document:
-    """A parsed YAML file with the line number of each path."""
+class _YamlFile:
+    """A parsed YAML file.
+
+    Attributes:
+        file: File name for the findings.
+        value: The parsed value.
+        lines: Line number of each path in the value.
+        findings: Findings about the syntax and about repeated keys.
+    """
 
     __slots__ = ('file', 'findings', 'lines', 'value')
 
@@ -186,6 +194,10 @@
 def read_yaml(path):
     """Parses a YAML file.
 
+    Returns:
+        An object with the attributes `value`, `file` and `lines`, as
+        `structure` needs them.
+
     Raises:
         SettingsInvalid: If it cannot be read or is not valid YAML.
     """
@@ -194,7 +206,7 @@
     except (OSError, UnicodeDecodeError) as exc:
         finding = errors.Finding(str(path), 0, '$', f'cannot read: {exc}')
         raise errors.SettingsInvalid([finding]) from exc
-    return _Document(str(path), text)
+    return _YamlFile(str(path), text)
 
 
 def read_entry(path):
@@ -203,17 +215,20 @@
     Raises:
         SettingsInvalid: With all findings.
     """
-    document = read_yaml(path)
+    yaml_file = read_yaml(path)
     return structure(
-        document.value, settings.EntrySettings, document.file, document.lines
+        yaml_file.value,
+        settings.EntrySettings,
+        yaml_file.file,
+        yaml_file.lines,
     )
 
 
 def read_catalog(path):
     """Reads a catalog file and checks it.
 
-    The file holds one list for each kind of document, under the plural of
-    its name: ``upstreams``, ``pools``, ``policies`` and so on.
+    The file holds a list of documents for each kind, under the plural of
+    the kind: ``upstreams``, ``pools``, ``policies`` and so on.
 
     Returns:
         The catalog.
@@ -221,36 +236,51 @@
     Raises:
         SettingsInvalid: With all findings of the file.
     """
-    document = read_yaml(path)
-    docs, paths, findings = _split(document)
+    yaml_file = read_yaml(path)
+    docs, paths, findings = _split(yaml_file)
     if not findings:
         try:
             return catalog.build(docs, structure)
         except errors.SettingsInvalid as exc:
             findings = [
-                _locate(document, paths, item) for item in exc.findings
+                _locate(yaml_file, paths, item) for item in exc.findings
             ]
     raise errors.SettingsInvalid(findings)
 
 
-def _locate(document, paths, finding):
-    """Returns a finding about a document with its place in the file."""
+def _locate(yaml_file, paths, finding):
+    """Converts a finding of `catalog.build` to one about the catalog file.
+
+    Such a finding has the path of a document, such as `pool/lm`, as its
+    file, and a path within the document, which begins with `$`. If its file
+    is empty, the path of the document stands before the `$`.
+
+    Args:
+        yaml_file: The _YamlFile of the catalog.
+        paths: Path in the file by the path of the document.
+        finding: The finding.
+    """
     name, _, rest = finding.path.partition('$')
     base = paths.get(finding.file or name, '$')
     path = base + rest
-    line = _line_of(path, document.lines)
-    return errors.Finding(document.file, line, path, finding.message)
+    line = _line_of(path, yaml_file.lines)
+    return errors.Finding(yaml_file.file, line, path, finding.message)
 
 
-def _split(document):
-    """Returns the documents of a catalog file, their paths, and findings."""
+def _split(yaml_file):
+    """Divides a catalog file into its documents.
+
+    Returns:
+        The documents, and their paths in the file, each by a path such as
+        `pool/lm`; and the findings.
+    """
     docs, paths, findings = {}, {}, []
 
     def add_finding(path, message):
-        line = _line_of(path, document.lines)
-        findings.append(errors.Finding(document.file, line, path, message))
+        line = _line_of(path, yaml_file.lines)
+        findings.append(errors.Finding(yaml_file.file, line, path, message))
 
-    raw = document.value if isinstance(document.value, dict) else {}
+    raw = yaml_file.value if isinstance(yaml_file.value, dict) else {}
     if not raw:
         add_finding('$', 'a mapping of lists is expected')
     for plural, items in raw.items():
