--- a/dandelionwinch/dispatch/_roles.py
+++ b/dandelionwinch/dispatch/_roles.py
@@ -1,9 +1,9 @@
 """Plans the next role change of an engine.
 
 The roles may not fit the load, as after a crash, when engines restart in
-their initial role. Each data centre needs a decode engine, and at most one
-prefill engine more than it has decode engines; and half of its engines prefill if the other half has slots
-for the decodes.
+their initial role. Each data centre needs a decode engine, and may have one
+prefill engine more than decode engines. Half of its engines prefill if the
+other half has slots for the decodes.
 """
 
 import attrs
