--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -1,10 +1,10 @@
-"""Chooses the upstream of a request from one instance's view of the load."""
+"""Chooses the upstream of each request, on the load that one instance sees."""
 
 from dandelionwinch.dispatch._distance import Distances
 from dandelionwinch.dispatch._engines import EnginePlacer
 from dandelionwinch.dispatch._plain import choose_plain
-from dandelionwinch.dispatch._prompts import PREFILLED_PRIORITY
 from dandelionwinch.dispatch._prompts import Placement
+from dandelionwinch.dispatch._prompts import PREFILLED_PRIORITY
 from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Prompt
 from dandelionwinch.dispatch._rate_limiter import RateLimiter
