--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -213,7 +213,10 @@
     run_keys = {execution.key for execution in executions if execution.key}
     run_requests = {execution.request_id for execution in executions}
     started_requests = {
-        job.rpartition('-')[0] for engine in engines for job in engine.started_jobs}
+        job.rpartition('-')[0]
+        for engine in engines
+        for job in engine.started_jobs
+    }
     reported_not_run = {i for o in outcomes for i in o.not_run}
     summary = Summary(house, jobs=len(outcomes))
     summary.answered_whole = _count(outcomes, 'whole')
@@ -234,7 +237,9 @@
         for o in outcomes
         if o.kind == 'charge' and o.state == 'whole' and o.key not in run_keys
     )
-    summary.overlapping_orders = sum(engine.overlapping_orders for engine in engines)
+    summary.overlapping_orders = sum(
+        engine.overlapping_orders for engine in engines
+    )
     summary.stale_orders = sum(engine.stale_orders for engine in engines)
     summary.lost_connections = sum(o.lost for o in outcomes)
     tokens = sum(o.tokens for o in outcomes if o.state == 'whole')
