--- a/dandelionwinch/standins/kvstore.py
+++ b/dandelionwinch/standins/kvstore.py
@@ -5,13 +5,13 @@
 import time
 import urllib.parse
 
+from dandelionwinch.standins import http_server
 from dandelionwinch.standins import kvitems
-from dandelionwinch.standins import web
 
 MAX_ENTRIES = 32
 
 
-class KvStore(web.Served):
+class KvStore(http_server.HttpStandIn):
     """Items, leases, watches and changes under a condition, over HTTP.
 
     Attributes:
@@ -23,7 +23,10 @@
     """
 
     def __init__(
-        self, page_size=500, expire_leases=False, threads=web.STAND_IN_THREADS
+        self,
+        page_size=500,
+        expire_leases=False,
+        threads=http_server.DEFAULT_THREADS,
     ):
         super().__init__(threads=threads)
         self._condition = threading.Condition()
@@ -75,7 +78,7 @@
         self.calls.append(call)
         self.on_change()
         if self.error_status:
-            return web.Reply(self.error_status, {})
+            return http_server.Reply(self.error_status, {})
         if self.expire_leases:
             self._change(self.items.expire, time.monotonic())
         match call:
@@ -89,16 +92,16 @@
                 reply = self._change(self._transact, req.json())
                 if self.replies_to_drop:
                     self.replies_to_drop -= 1
-                    raise web.HungUp
+                    raise http_server.DropConnection
                 return reply
         return self._change(self._lease_call, call, argument, req)
 
     def _key(self, query):
         item = self.items.get(query['key'])
         if item is None:
-            return web.Reply(404, {})
+            return http_server.Reply(404, {})
         row = {**_row(item), 'storeRevision': self.items.revision}
-        return web.Reply(200, row)
+        return http_server.Reply(200, row)
 
     def _range(self, query):
         found, more = self.items.page(
@@ -109,7 +112,7 @@
             'hasMore': more,
             'storeRevision': self.items.revision,
         }
-        return web.Reply(200, body)
+        return http_server.Reply(200, body)
 
     def _watch(self, query):
         prefix, after = query.get('prefix', ''), int(query['after'])
@@ -123,12 +126,12 @@
             )
             found = changes()
             if found is None:
-                return web.Reply(410, {})
+                return http_server.Reply(410, {})
             body = {
                 'events': [_row(item) for item in found],
                 'storeRevision': self.items.revision,
             }
-        return web.Reply(200, body)
+        return http_server.Reply(200, body)
 
     def _lease_call(self, call, argument, req):
         now = time.monotonic()
@@ -136,19 +139,23 @@
             case 'kv-lease':
                 ttl_ms = req.json()['ttlMs']
                 lease = self.items.grant(ttl_ms / 1e3, now)
-                return web.Reply(200, {'lease': lease, 'ttlMs': ttl_ms})
+                return http_server.Reply(
+                    200, {'lease': lease, 'ttlMs': ttl_ms}
+                )
             case 'kv-keep':
                 known = self.items.renew(int(argument), now)
-                return web.Reply(200 if known else 404, {'ttlMs': 1000})
+                return http_server.Reply(
+                    200 if known else 404, {'ttlMs': 1000}
+                )
             case 'kv-lease-end':
                 self.items.revoke(int(argument))
-                return web.Reply(200, {})
-        return web.Reply(400, {})
+                return http_server.Reply(200, {})
+        return http_server.Reply(400, {})
 
     def _transact(self, body):
         rows, puts = body['precondition'], body['puts']
         if len(rows) + len(puts) + len(body['remove']) > MAX_ENTRIES:
-            return web.Reply(400, {})
+            return http_server.Reply(400, {})
         result = self.items.commit(
             [(row['key'], row['revision']) for row in rows],
             [
@@ -161,10 +168,10 @@
             case kvitems.Rejection.CONDITION:
                 found = [self.items.get(row['key']) for row in rows]
                 rows = [_row(item) for item in found if item]
-                return web.Reply(412, {'items': rows})
+                return http_server.Reply(412, {'items': rows})
             case kvitems.Rejection.LEASE:
-                return web.Reply(404, {})
-        return web.Reply(200, {'revision': result})
+                return http_server.Reply(404, {})
+        return http_server.Reply(200, {'revision': result})
 
 
 def _row(item):
--- a/dandelionwinch/standins/livelist.py
+++ b/dandelionwinch/standins/livelist.py
@@ -2,10 +2,10 @@
 
 import threading
 
-from dandelionwinch.standins import web
+from dandelionwinch.standins import http_server
 
 
-class LiveListServer(web.Served):
+class LiveListServer(http_server.HttpStandIn):
     """Serves EndpointSlices that a test or demo fills in."""
 
     __slots__ = ('_lines', '_lock')
@@ -52,4 +52,6 @@
     def _handle(self, _req):
         with self._lock:
             items = list(self._lines.values())
-        return web.Reply(body={'kind': 'EndpointSliceList', 'items': items})
+        return http_server.Reply(
+            body={'kind': 'EndpointSliceList', 'items': items}
+        )
--- a/dandelionwinch/standins/service.py
+++ b/dandelionwinch/standins/service.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from dandelionwinch.standins import web
+from dandelionwinch.standins import http_server
 
 _OUTCOMES = '/outcomes/'
 
@@ -50,7 +50,7 @@
         return sorted(key for key, count in counts.items() if count > 1)
 
 
-class ServiceServer(web.Served):
+class ServiceServer(http_server.HttpStandIn):
     """Serves calls; charges and holds stand in a shared journal.
 
     Attributes:
@@ -78,13 +78,13 @@
 
     def _handle(self, req):
         if not self.alive:
-            raise web.HungUp
+            raise http_server.DropConnection
         if req.path == '/load':
-            return web.Reply(body={'running': 0, 'waiting': 0})
+            return http_server.Reply(body={'running': 0, 'waiting': 0})
         if req.path.startswith(_OUTCOMES):
             return self._outcome(req.path.removeprefix(_OUTCOMES))
         if req.path == '/error':
-            return web.Reply(500, {'error': 'failed'})
+            return http_server.Reply(500, {'error': 'failed'})
         return self._run(req)
 
     def _run(self, req):
@@ -95,13 +95,13 @@
         self.journal.run(execution, answer)
         if self.replies_to_drop > 0:
             self.replies_to_drop -= 1
-            raise web.HungUp
-        return web.Reply(body=answer)
+            raise http_server.DropConnection
+        return http_server.Reply(body=answer)
 
     def _outcome(self, key):
         if not self.asks_by_key:
-            return web.Reply(404, {'error': 'not supported'})
+            return http_server.Reply(404, {'error': 'not supported'})
         answer = self.journal.answer_of(key)
         if answer is None:
-            return web.Reply(body={'state': 'never seen'})
-        return web.Reply(body={'state': 'done', 'answer': answer})
+            return http_server.Reply(body={'state': 'never seen'})
+        return http_server.Reply(body={'state': 'done', 'answer': answer})
--- a/dandelionwinch/standins/store.py
+++ b/dandelionwinch/standins/store.py
@@ -4,7 +4,7 @@
 import threading
 
 from dandelionwinch import effects
-from dandelionwinch.standins import web
+from dandelionwinch.standins import http_server
 
 
 class MemoryStore:
@@ -64,7 +64,7 @@
         return effects.Committed(self.revision)
 
 
-class StoreServer(web.Served):
+class StoreServer(http_server.HttpStandIn):
     """Serves a memory store by etcd's v3 JSON interface.
 
     Attributes:
@@ -82,14 +82,14 @@
 
     def _handle(self, req):
         if self.down:
-            return web.Reply(503, {'error': 'no leader', 'code': 14})
+            return http_server.Reply(503, {'error': 'no leader', 'code': 14})
         body = req.json()
         match req.path:
             case '/v3/kv/range':
-                return web.Reply(body=self._range(body))
+                return http_server.Reply(body=self._range(body))
             case '/v3/kv/txn':
                 return self._txn(body)
-        return web.Reply(404, {'error': f'no path "{req.path}"'})
+        return http_server.Reply(404, {'error': f'no path "{req.path}"'})
 
     def _range(self, body):
         key = _text(body['key'])
@@ -112,9 +112,9 @@
         reply = self.store.execute(effects.Commit(guards, puts))
         if self.replies_to_drop > 0:
             self.replies_to_drop -= 1
-            raise web.HungUp
+            raise http_server.DropConnection
         succeeded = isinstance(reply, effects.Committed)
-        return web.Reply(
+        return http_server.Reply(
             body={'header': self._header(), 'succeeded': succeeded}
         )
 
--- a/dandelionwinch/standins/upstream.py
+++ b/dandelionwinch/standins/upstream.py
@@ -5,14 +5,14 @@
 import time
 
 from dandelionwinch.standins import engine
-from dandelionwinch.standins import web
+from dandelionwinch.standins import http_server
 from dandelionwinch import utils
 
 SILENCE_S = 30.0
 SILENT_AFTER = 3
 
 
-class UpstreamServer(web.Served):
+class UpstreamServer(http_server.HttpStandIn):
     """Serves one engine.
 
     Attributes:
@@ -35,18 +35,18 @@
 
     def _handle(self, req):
         if not self.engine.alive:
-            raise web.HungUp
+            raise http_server.DropConnection
         match (req.method, req.path):
             case ('POST', '/v1/completions' | '/v1/chat/completions'):
                 return self._complete(req)
             case ('POST', '/v1/cancel'):
                 self.engine.cancel(req.json()['request_id'])
-                return web.Reply(body={})
+                return http_server.Reply(body={})
             case ('GET', '/load'):
-                return web.Reply(body=self._load())
+                return http_server.Reply(body=self._load())
             case ('POST', '/role'):
                 return self._order(req.json())
-        return web.Reply(404, {'error': f'no path "{req.path}"'})
+        return http_server.Reply(404, {'error': f'no path "{req.path}"'})
 
     def _load(self):
         now = time.monotonic()
@@ -70,39 +70,45 @@
             body['order_id'], body['epoch'], body['role'], time.monotonic()
         )
         if not taken:
-            return web.Reply(409, {'error': 'epoch is old'})
-        return web.Reply(202, {'order_id': body['order_id']})
+            return http_server.Reply(409, {'error': 'epoch is old'})
+        return http_server.Reply(202, {'order_id': body['order_id']})
 
     def _complete(self, req):
         body = req.json()
         if body.get('model') != self.engine.model:
-            return web.Reply(404, {'error': 'no such model'})
+            return http_server.Reply(404, {'error': 'no such model'})
         now = time.monotonic()
         job = _job_of(req, body)
         if job.resumes and not self.engine.has(job.id):
-            return web.Reply(410, {'error': 'the answer is gone'})
+            return http_server.Reply(410, {'error': 'the answer is gone'})
         made = self.engine.begin(
             job.id, job.prompt, job.tokens, job.first, job.prefill, now
         )
         if made is None:
-            return web.Reply(503, {'error': 'upstream takes no work'})
+            return http_server.Reply(503, {'error': 'upstream takes no work'})
         if job.exports:
             self._wait_until(made, made.ready_at)
             self.engine.cancel(made.job)
-            return web.Reply(body={'kv_transfer_params': {'id': job.id}})
+            return http_server.Reply(
+                body={'kv_transfer_params': {'id': job.id}}
+            )
         if body.get('stream'):
             chunks = self._stream(made, job)
-            return web.Reply(chunks=chunks, content_type='text/event-stream')
+            return http_server.Reply(
+                chunks=chunks, content_type='text/event-stream'
+            )
         self._wait_until(made, made.ends_at())
         text = engine.answer_of(made.prompt, made.first, made.tokens)
-        return web.Reply(body=_whole(text, made.tokens - made.first, job))
+        return http_server.Reply(
+            body=_whole(text, made.tokens - made.first, job)
+        )
 
     def _wait_until(self, made, moment):
         wait_s = moment - time.monotonic()
         if wait_s > 0:
             time.sleep(wait_s)
         if not self.engine.alive or not self.engine.holds(made):
-            raise web.HungUp
+            raise http_server.DropConnection
 
     def _stream(self, made, job):
         silent = self.streams_to_stall > 0
