--- a/dandelionwinch/standins/livelist.py
+++ b/dandelionwinch/standins/livelist.py
@@ -6,24 +6,29 @@
 
 
 class LiveListServer(http_server.HttpStandIn):
-    """Serves EndpointSlices that a test or demo fills in."""
+    """Serves the EndpointSlices that tests and demos add."""
 
-    __slots__ = ('_lines', '_lock')
+    __slots__ = ('_lock', '_slices')
 
     def __init__(self, listen='127.0.0.1:0'):
-        self._lines = {}
+        self._slices = {}
         self._lock = threading.Lock()
         super().__init__(listen)
 
     def add(self, cfg, leaving=False):
-        """Lists an instance by its settings."""
+        """Adds an instance, or replaces it.
+
+        Args:
+            cfg: InstanceSettings.
+            leaving: Whether the platform is terminating the instance.
+        """
         host, _, client_port = cfg.client_address.rpartition(':')
         ports = {
             'client': client_port,
             'peer': cfg.peer_address.rpartition(':')[2],
             'operator': cfg.operator_address.rpartition(':')[2],
         }
-        line = {
+        endpoint_slice = {
             'metadata': {'name': cfg.name},
             'endpoints': [
                 {
@@ -42,16 +47,16 @@
             ],
         }
         with self._lock:
-            self._lines[cfg.name] = line
+            self._slices[cfg.name] = endpoint_slice
 
     def remove(self, name):
-        """Takes an instance off the list."""
+        """Removes an instance from the list."""
         with self._lock:
-            self._lines.pop(name, None)
+            self._slices.pop(name, None)
 
     def _handle(self, _req):
         with self._lock:
-            items = list(self._lines.values())
+            items = list(self._slices.values())
         return http_server.Reply(
             body={'kind': 'EndpointSliceList', 'items': items}
         )
