--- a/dandelionwinch/standins/service.py
+++ b/dandelionwinch/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a plain service that records what it executed."""
+"""A stand-in of a plain service, which records the calls it executes."""
 
 import collections
 import threading
@@ -8,12 +8,12 @@
 
 from dandelionwinch.standins import http_server
 
-_OUTCOMES = '/outcomes/'
+_OUTCOMES_PATH = '/outcomes/'
 
 
 @attrs.frozen
 class Execution:
-    """One call that the service carried out."""
+    """A call that the service executed."""
 
     key: str
     request_id: str
@@ -21,7 +21,11 @@
 
 
 class Journal:
-    """What all processes of a service carried out, as they saw it."""
+    """Executions of all processes of a service, and answers by key.
+
+    Attributes:
+        executions: All executions, in order.
+    """
 
     __slots__ = ('_answers', '_lock', 'executions')
 
@@ -30,8 +34,8 @@
         self._answers = {}
         self.executions = []
 
-    def run(self, execution, answer):
-        """Records an execution and its answer."""
+    def record(self, execution, answer):
+        """Records an execution, and its answer if it has a key."""
         with self._lock:
             self.executions.append(execution)
             if execution.key:
@@ -43,7 +47,7 @@
             return self._answers.get(key)
 
     def duplicate_keys(self):
-        """Returns the keys that were carried out more than once."""
+        """Returns the keys of calls that were executed more than once."""
         with self._lock:
             keys = [item.key for item in self.executions if item.key]
         counts = collections.Counter(keys)
@@ -51,11 +55,16 @@
 
 
 class ServiceServer(http_server.HttpStandIn):
-    """Serves calls; charges and holds stand in a shared journal.
+    """Serves calls over HTTP and records them in a journal.
 
     Attributes:
-        lose_answers: Calls to carry out without an answer.
-        delay_s: Time that one call takes.
+        name: Name that answers carry.
+        journal: The Journal, which processes of a service share.
+        asks_by_key: Whether it returns outcomes by idempotency key.
+        replies_to_drop: Number of next calls that are executed without a
+            response.
+        delay_s: Execution time of a call.
+        alive: While False, connections are closed without a response.
     """
 
     __slots__ = (
@@ -81,18 +90,18 @@
             raise http_server.DropConnection
         if req.path == '/load':
             return http_server.Reply(body={'running': 0, 'waiting': 0})
-        if req.path.startswith(_OUTCOMES):
-            return self._outcome(req.path.removeprefix(_OUTCOMES))
+        if req.path.startswith(_OUTCOMES_PATH):
+            return self._outcome(req.path.removeprefix(_OUTCOMES_PATH))
         if req.path == '/error':
             return http_server.Reply(500, {'error': 'failed'})
-        return self._run(req)
+        return self._execute(req)
 
-    def _run(self, req):
+    def _execute(self, req):
         time.sleep(self.delay_s)
         key = req.header('Idempotency-Key')
         answer = {'service': self.name, 'path': req.path, 'ok': True}
         execution = Execution(key, req.header('X-Request-Id'), req.path)
-        self.journal.run(execution, answer)
+        self.journal.record(execution, answer)
         if self.replies_to_drop > 0:
             self.replies_to_drop -= 1
             raise http_server.DropConnection
