--- a/dandelionwinch/adapters/connection_pools.py
+++ b/dandelionwinch/adapters/connection_pools.py
@@ -29,12 +29,12 @@
     """Connection pools by address; a pool that was idle is replaced.
 
     A middlebox may drop the state of an idle connection without notifying
-    its ends. A pool that was not used for ``idle_s`` seconds, which is well
-    below the timeouts of middleboxes, is therefore closed and replaced.
-    Requests in progress on the old pool are not affected.
+    its ends. A pool that was not used for ``idle_s`` seconds is therefore
+    closed and replaced. Requests in progress on it are not affected.
 
     Args:
-        idle_s: Seconds without use after which a pool is replaced.
+        idle_s: Seconds without use after which a pool is replaced; must be
+            well below the idle timeouts of middleboxes.
     """
 
     __slots__ = ('_idle_s', '_lock', '_pools', '_used_at')
--- a/dandelionwinch/standins/engine.py
+++ b/dandelionwinch/standins/engine.py
@@ -67,8 +67,9 @@
         epoch: Highest epoch of the orders received.
         order: Identifier and role of the last accepted order, or None.
         role_changes: Number of role changes.
-        interrupted_answers: Answers that ended by a role change.
-        crashed_answers: Answers that ended by a crash.
+        interrupted_answers: Answers that were incomplete when a role
+            change began.
+        crashed_answers: Answers that were dropped by a crash.
         overlapping_orders: Orders accepted during a role change.
         stale_orders: Orders of an older epoch that were executed.
         started_jobs: Identifiers of all jobs that were started.
@@ -80,18 +81,18 @@
         '_lock',
         '_prefill_free_at',
         'alive',
-        'role_change_until',
         'boot',
         'cfg',
         'crashed_answers',
-        'interrupted_answers',
         'epoch',
+        'interrupted_answers',
         'model',
         'order',
         'overlapping_orders',
         'prefilled_tokens',
         'role',
         'role_change_s',
+        'role_change_until',
         'role_changes',
         'stale_orders',
         'started_jobs',
