--- a/dandelionwinch/attempts/_retry_budget.py
+++ b/dandelionwinch/attempts/_retry_budget.py
@@ -46,18 +46,18 @@
         self._add(self._requests, service, now)
         self._slack_ratio(now)
 
-    def spend(self, service, instance_count, now):
+    def spend(self, service, capacity_ratio, now):
         """Spends one retry if the budget allows it; tells whether it did.
 
         Args:
             service: Name of the service.
-            instance_count: Known instances that share the slack, in units
-                of this instance's capacity.
+            capacity_ratio: Capacity of all known instances over this
+                instance's capacity; divides the slack.
             now: Time in seconds.
         """
         requests = self._count(self._requests, service, now)
         retries = self._count(self._retries, service, now)
-        slack = self._slack * self._slack_ratio(now) / instance_count
+        slack = self._slack * self._slack_ratio(now) / capacity_ratio
         allowed = self._ratio * requests + slack
         if retries + 1 > allowed:
             return False
--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -15,7 +15,7 @@
     if name != 'winch':
         return _Baseline(name, rng)
     placer = dispatch.EnginePlacer(distances, rng)
-    placer.instance_count = instance_count
+    placer.capacity_ratio = instance_count
     return placer
 
 
--- a/dandelionwinch/control/_registered.py
+++ b/dandelionwinch/control/_registered.py
@@ -64,8 +64,8 @@
             return max(current, self._stored_capacity)
         return current
 
-    def instance_count(self, own_capacity, now):
-        """Returns the total capacity in units of an instance's own.
+    def capacity_ratio(self, own_capacity, now):
+        """Returns the total capacity over an instance's own.
 
         Args:
             own_capacity: Capacity of the instance.
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -282,8 +282,8 @@
 
     def _after_response(self, now):
         """Applies what is due after each response of the store."""
-        self._gateway.set_instance_count(
-            self.registered.instance_count(self._capacity, now)
+        self._gateway.set_capacity_ratio(
+            self.registered.capacity_ratio(self._capacity, now)
         )
         for name in self._guard.due(now):
             self._remove_upstream(name, now, held=True)
--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -52,8 +52,8 @@
     """Chooses engines for prompts and adapts to their responses.
 
     Attributes:
-        instance_count: Instances that share the engines, as the capacity of
-            all of them in units of the own one.
+        capacity_ratio: Capacity of all instances that share the engines
+            over this instance's capacity.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
         '_prefix_cache',
         '_rng',
         '_transfers',
-        'instance_count',
+        'capacity_ratio',
     )
 
     def __init__(self, distances, rng):
@@ -77,7 +77,7 @@
         self._prefill_rates = _prefill_rates.PrefillRates()
         self._in_flight = _in_flight.InFlight()
         self._limiters = {}
-        self.instance_count = 1.0
+        self.capacity_ratio = 1.0
 
     def place(
         self, prompt, candidates, exclude, now, *, direct, late, objective_s
@@ -177,10 +177,10 @@
 
     def peak_decodes(self, now):
         """Returns the recent peak of decodes, estimated for all instances."""
-        return self._in_flight.peak_decodes(now) * self.instance_count
+        return self._in_flight.peak_decodes(now) * self.capacity_ratio
 
     def _has_slot(self, engine):
-        slots = DECODE_SLOT_RATIO * engine.entry.slots / self.instance_count
+        slots = DECODE_SLOT_RATIO * engine.entry.slots / self.capacity_ratio
         return self._in_flight.decodes(engine.entry.id) < max(1.0, slots)
 
     def _short_cost_s(self, engine, now):
@@ -198,7 +198,7 @@
             return False
         if self._delay_s(engine, now) > MAX_BACKGROUND_DELAY_S:
             return False
-        limit = BACKGROUND_PER_SLOT * engine.entry.slots / self.instance_count
+        limit = BACKGROUND_PER_SLOT * engine.entry.slots / self.capacity_ratio
         if late:
             limit *= LATE_BACKGROUND_RATIO
         return self._in_flight.background(engine.entry.id) < max(1.0, limit)
@@ -232,7 +232,7 @@
         limiter = self._limiters.get(engine.entry.id)
         if limiter is None:
             limiter = _rate_limiter.RateLimiter(
-                self._prefill_rate(engine), self.instance_count, now
+                self._prefill_rate(engine), self.capacity_ratio, now
             )
             self._limiters[engine.entry.id] = limiter
         return limiter
@@ -413,7 +413,7 @@
             max(excess_s, overdue_s),
             placement.objective_s,
             self._prefill_rate(engine),
-            self.instance_count,
+            self.capacity_ratio,
             now,
         )
 
--- a/dandelionwinch/dispatch/_rate_limiter.py
+++ b/dandelionwinch/dispatch/_rate_limiter.py
@@ -45,7 +45,7 @@
     __slots__ = (
         '_balance',
         '_changed_at',
-        '_instance_count',
+        '_capacity_ratio',
         '_limited',
         '_mean_tokens',
         '_prefill_rate',
@@ -53,11 +53,11 @@
         '_refilled_at',
     )
 
-    def __init__(self, prefill_rate, instance_count, now):
+    def __init__(self, prefill_rate, capacity_ratio, now):
         self._prefill_rate = prefill_rate
-        self._instance_count = instance_count
+        self._capacity_ratio = capacity_ratio
         self._rate = min(
-            prefill_rate, INITIAL_RATE_RATIO * prefill_rate / instance_count
+            prefill_rate, INITIAL_RATE_RATIO * prefill_rate / capacity_ratio
         )
         self._balance = self._rate * BURST_S
         self._refilled_at = now
@@ -98,7 +98,7 @@
         self._refilled_at = now
 
     def observe(
-        self, excess_s, objective_s, prefill_rate, instance_count, now
+        self, excess_s, objective_s, prefill_rate, capacity_ratio, now
     ):
         """Adjusts the rate to the delay of one first token.
 
@@ -106,12 +106,12 @@
             excess_s: Latency in excess of what the prompt itself needs.
             objective_s: Latency objective of the first token.
             prefill_rate: Estimated prefill rate of the engine.
-            instance_count: Instances that share the engine, in units of the
-                own capacity.
+            capacity_ratio: Capacity of all instances that share the engine
+                over this instance's capacity.
             now: Time in seconds.
         """
         self._prefill_rate = prefill_rate
-        self._instance_count = instance_count
+        self._capacity_ratio = capacity_ratio
         if excess_s > DECREASE_DELAY_RATIO * objective_s:
             self.decrease(now)
         elif excess_s < INCREASE_DELAY_RATIO * objective_s and self._limited:
@@ -126,14 +126,14 @@
         if now - self._changed_at < MIN_STEP_S:
             return
         self._refill(now)
-        least = MIN_RATE_RATIO * self._prefill_rate / self._instance_count
+        least = MIN_RATE_RATIO * self._prefill_rate / self._capacity_ratio
         self._rate = max(least, min(MAX_RATE_RATIO * self._prefill_rate, rate))
         self._changed_at = now
 
     def is_unreduced(self):
         """Tells whether the rate is at least near its initial value."""
         initial = (
-            INITIAL_RATE_RATIO * self._prefill_rate / self._instance_count
+            INITIAL_RATE_RATIO * self._prefill_rate / self._capacity_ratio
         )
         return self._rate >= min(self._prefill_rate, initial) * UNREDUCED_RATIO
 
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -14,8 +14,8 @@
 
     Attributes:
         registry: State of each upstream.
-        instance_count: Instances that share the connection limits, in
-            units of this instance's capacity.
+        capacity_ratio: Capacity of all instances over this instance's,
+            which divides the connection limits.
         table: The RouteTable, None before the first one is known.
         latency_baseline: Typical latency of each service.
     """
@@ -23,7 +23,7 @@
     __slots__ = (
         '_loop',
         '_pools',
-        'instance_count',
+        'capacity_ratio',
         'latency_baseline',
         'registry',
         'table',
@@ -33,7 +33,7 @@
         self._loop = loop
         self._pools = {}
         self.registry = upstreams.Registry()
-        self.instance_count = 1.0
+        self.capacity_ratio = 1.0
         self.table = None
         self.latency_baseline = upstreams.LatencyBaseline()
 
@@ -53,7 +53,7 @@
         service = self.table.services.get(service_name) if self.table else None
         total = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
         return max(
-            2, int(total * CONNECTION_LIMIT_RATIO / self.instance_count)
+            2, int(total * CONNECTION_LIMIT_RATIO / self.capacity_ratio)
         )
 
     def sweep(self, now):
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -125,15 +125,15 @@
         """Logs a request that was rejected before it was complete."""
         self.log.event('request.refused', status=status, reason=reason)
 
-    def set_instance_count(self, instance_count):
-        """Sets the number of instances that share limits.
+    def set_capacity_ratio(self, capacity_ratio):
+        """Sets the ratio by which this instance divides shared limits.
 
         Args:
-            instance_count: Capacity of all instances in units of this
-                instance's capacity.
+            capacity_ratio: Capacity of all instances over this
+                instance's capacity, at least 1.
         """
-        self.fleet.instance_count = instance_count
-        self.placer.instance_count = instance_count
+        self.fleet.capacity_ratio = capacity_ratio
+        self.placer.capacity_ratio = capacity_ratio
 
     def begin_role_change(self, upstream_id, span_s):
         """Excludes an engine from placement while its role changes.
@@ -156,7 +156,7 @@
     def spend_retry(self, service):
         """Spends a retry of the shared budget; tells whether there was one."""
         return self.budget.spend(
-            service, self.fleet.instance_count, self.loop.time()
+            service, self.fleet.capacity_ratio, self.loop.time()
         )
 
     def log_placement(self, request_id, placement):
