--- a/dandelionwinch/gateway/_call_handler.py
+++ b/dandelionwinch/gateway/_call_handler.py
@@ -25,5 +25,5 @@
         pool, conn = await self._begin_attempt(upstream)
         started_at = self._loop.time()
         async with self._open_exchange(upstream, pool, conn) as exchange:
-            response = await exchange.fetch(params, self._idle_timeout_s())
+            response = await exchange.fetch(params, self._read_timeout_s())
         self._accept_response(upstream, response, started_at)
--- a/dandelionwinch/gateway/_connection.py
+++ b/dandelionwinch/gateway/_connection.py
@@ -9,10 +9,12 @@
 from dandelionwinch.gateway import _codec
 
 MAX_HEAD_BYTES = 65536
-# Subtracted from the idle timeout that the server states, so that no
+# Subtracted from the keep-alive timeout that the server states, so that no
 # request is sent on a connection that the server is about to close.
-IDLE_MARGIN_S = 0.3
-DEFAULT_IDLE_TIMEOUT_S = 4.0
+KEEP_ALIVE_MARGIN_S = 0.3
+# Keep-alive timeout of a connection to a server that states none or a
+# longer one.
+MAX_KEEP_ALIVE_S = 4.0
 MAX_READ_AHEAD_BYTES = 1 << 18
 NO_BODY_STATUSES = (204, 304)
 
@@ -58,7 +60,7 @@
 
     Attributes:
         busy: Whether a request is in flight.
-        idle_until: Loop time until which the connection may be reused.
+        reusable_until: Loop time at which the keep-alive timeout ends.
         used: Number of requests sent on it.
     """
 
@@ -76,7 +78,7 @@
         '_transport',
         '_waiter',
         'busy',
-        'idle_until',
+        'reusable_until',
         'used',
     )
 
@@ -94,7 +96,7 @@
         self._queued_bytes = 0
         self._paused = False
         self.busy = False
-        self.idle_until = 0.0
+        self.reusable_until = 0.0
         self.used = 0
 
     def connection_made(self, transport):
@@ -128,16 +130,18 @@
             or head.status in NO_BODY_STATUSES
         )
         self._body_until_close = not framed
-        self._set_idle_deadline(head)
+        self._set_reusable_until(head)
         self._queue_item(head)
 
-    def _set_idle_deadline(self, head):
-        idle_s = DEFAULT_IDLE_TIMEOUT_S
+    def _set_reusable_until(self, head):
+        keep_alive_s = MAX_KEEP_ALIVE_S
         for item in head.header('keep-alive').split(','):
             name, _, value = item.strip().partition('=')
             if name.lower() == 'timeout' and value.isdigit():
-                idle_s = min(idle_s, max(0.0, int(value) - IDLE_MARGIN_S))
-        self.idle_until = self._loop.time() + idle_s
+                keep_alive_s = min(
+                    keep_alive_s, max(0.0, int(value) - KEEP_ALIVE_MARGIN_S)
+                )
+        self.reusable_until = self._loop.time() + keep_alive_s
 
     def on_body(self, data):
         """Queues bytes of a body; pauses reading if the queue is full."""
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -94,11 +94,11 @@
 
     async def _request_prefill(self, exchange, params, priority_class):
         exchange.send(params)
-        idle_timeout_s = self._left_s()
+        read_timeout_s = self._left_s()
         if priority_class is not dispatch.PriorityClass.BACKGROUND:
-            idle_timeout_s = PREFILL_TIMEOUT_FACTOR * self._route.objective_s
-        head = await exchange.read_head(idle_timeout_s)
-        body = await exchange.read_body(idle_timeout_s)
+            read_timeout_s = PREFILL_TIMEOUT_FACTOR * self._route.objective_s
+        head = await exchange.read_head(read_timeout_s)
+        body = await exchange.read_body(read_timeout_s)
         reply = self._gateway.wire_codec.parse_reply(head)
         handle = self._gateway.wire_codec.kv_handle(body)
         if head.status != 200 or not handle:
@@ -161,18 +161,18 @@
         after the last of them.
         """
         exchange.send(params)
-        idle_timeout_s = self._idle_timeout_s()
-        head = await exchange.read_head(idle_timeout_s)
+        read_timeout_s = self._read_timeout_s()
+        head = await exchange.read_head(read_timeout_s)
         reply = self._gateway.wire_codec.parse_reply(head)
         if head.status != 200 or not reply.signed or reply.not_executed:
             await self._handle_error(
-                exchange, head, placement.decode, idle_timeout_s
+                exchange, head, placement.decode, read_timeout_s
             )
             return
         splitter = _sse.EventSplitter()
         last_at = None
         while True:
-            item = await exchange.read_item(idle_timeout_s)
+            item = await exchange.read_item(read_timeout_s)
             if isinstance(item, _connection.End):
                 break
             for event in self._split(splitter, item.data):
@@ -230,10 +230,10 @@
             placement, now - started_at, now
         )
 
-    async def _handle_error(self, exchange, head, upstream, idle_timeout_s):
+    async def _handle_error(self, exchange, head, upstream, read_timeout_s):
         """Relays an error response, unless a stream has begun already."""
         response = _upstream_exchange.UpstreamResponse(
-            head, await exchange.read_body(idle_timeout_s)
+            head, await exchange.read_body(read_timeout_s)
         )
         exchange.check_executed(response)
         if self._streaming:
--- a/dandelionwinch/gateway/_pool.py
+++ b/dandelionwinch/gateway/_pool.py
@@ -34,13 +34,13 @@
         self.limit = limit
         self.open = 0
 
-    async def acquire(self, timeout_s, *, min_idle_left_s=0.0):
+    async def acquire(self, timeout_s, *, min_keep_alive_s=0.0):
         """Returns an idle or a new connection.
 
         Args:
             timeout_s: Maximum wait, including that for a release.
-            min_idle_left_s: Minimum seconds before the idle timeout of a
-                reused connection.
+            min_keep_alive_s: Minimum seconds before the keep-alive timeout
+                of a reused connection.
 
         Raises:
             PoolBusy: If none was released in time.
@@ -48,18 +48,18 @@
         """
         deadline = self._loop.time() + timeout_s
         while True:
-            conn = self._pop_idle(min_idle_left_s)
+            conn = self._pop_idle(min_keep_alive_s)
             if conn is not None:
                 return conn
             if self.open < self.limit:
                 return await self._connect(deadline - self._loop.time())
             await self._wait_for_release(deadline)
 
-    def _pop_idle(self, min_idle_left_s):
+    def _pop_idle(self, min_keep_alive_s):
         now = self._loop.time()
         while self._idle:
             conn = self._idle.pop()
-            if conn.usable and conn.idle_until - min_idle_left_s > now:
+            if conn.usable and conn.reusable_until - min_keep_alive_s > now:
                 return conn
             self._close(conn)
         return None
@@ -130,11 +130,11 @@
                 return
 
     def sweep(self):
-        """Closes connections that failed or reached their idle timeout."""
+        """Closes connections that failed or whose keep-alive time ended."""
         now = self._loop.time()
         keep = collections.deque()
         for conn in self._idle:
-            if conn.usable and conn.idle_until > now:
+            if conn.usable and conn.reusable_until > now:
                 keep.append(conn)
             else:
                 self._close(conn)
--- a/dandelionwinch/gateway/_request_handler.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -18,10 +18,10 @@
 ACQUIRE_TIMEOUT_S = 0.5
 # A request that is sent as the upstream closes the idle connection is
 # reset and may have run, so one that must not run twice needs a margin.
-ONCE_MIN_IDLE_LEFT_S = 1.0
+ONCE_MIN_KEEP_ALIVE_S = 1.0
 # Multiple of the route's latency objective.
-IDLE_TIMEOUT_FACTOR = 4.0
-MIN_IDLE_TIMEOUT_S = 0.8
+READ_TIMEOUT_FACTOR = 4.0
+MIN_READ_TIMEOUT_S = 0.8
 MIN_RETRY_AFTER_S = 0.2
 RETRY_AFTER_JITTER_S = 0.4
 SERVER_ERROR_STATUS = 500
@@ -238,8 +238,8 @@
             error_response=self._error_response,
         )
 
-    def _idle_timeout_s(self):
-        """Returns how long an upstream may send nothing.
+    def _read_timeout_s(self):
+        """Returns the read timeout: how long an upstream may send nothing.
 
         The last attempt, and one that may not be retried, gets all the
         time until the deadline.
@@ -249,10 +249,10 @@
         last = len(self._tried) >= route.max_attempts
         if route.retry_policy is routes.RetryPolicy.ONCE or last:
             return left_s
-        idle_s = IDLE_TIMEOUT_FACTOR * route.objective_s
-        return min(left_s, max(MIN_IDLE_TIMEOUT_S, idle_s))
+        timeout_s = READ_TIMEOUT_FACTOR * route.objective_s
+        return min(left_s, max(MIN_READ_TIMEOUT_S, timeout_s))
 
-    async def _acquire(self, upstream, min_idle_left_s=0.0):
+    async def _acquire(self, upstream, min_keep_alive_s=0.0):
         """Acquires a connection to an upstream.
 
         Raises:
@@ -264,7 +264,7 @@
         try:
             conn = await pool.acquire(
                 min(ACQUIRE_TIMEOUT_S, self._left_s()),
-                min_idle_left_s=min_idle_left_s,
+                min_keep_alive_s=min_keep_alive_s,
             )
         except _pool.PoolBusy as exc:
             raise self._not_sent(upstream, str(exc)) from exc
@@ -288,10 +288,10 @@
 
     async def _begin_attempt(self, upstream):
         """Acquires a connection, and spends a retry if this is one."""
-        min_idle_left_s = 0.0
+        min_keep_alive_s = 0.0
         if self._route.retry_policy is routes.RetryPolicy.ONCE:
-            min_idle_left_s = ONCE_MIN_IDLE_LEFT_S
-        pool, conn = await self._acquire(upstream, min_idle_left_s)
+            min_keep_alive_s = ONCE_MIN_KEEP_ALIVE_S
+        pool, conn = await self._acquire(upstream, min_keep_alive_s)
         if self._attempt_count and not self._gateway.spend_retry(
             self._service
         ):
--- a/dandelionwinch/gateway/_server.py
+++ b/dandelionwinch/gateway/_server.py
@@ -221,7 +221,7 @@
         limits = self._server.limits
         if self._request_started_at is None:
             idle_s = now - self._idle_since
-            if idle_s > limits.idle_timeout_s or self._server.draining:
+            if idle_s > limits.keep_alive_timeout_s or self._server.draining:
                 self._close()
             return
         limit_s = limits.header_timeout_s
--- a/dandelionwinch/gateway/_upstream_exchange.py
+++ b/dandelionwinch/gateway/_upstream_exchange.py
@@ -52,7 +52,7 @@
         self._req = req
         self._deadline = deadline
 
-    async def fetch(self, params, idle_timeout_s):
+    async def fetch(self, params, read_timeout_s):
         """Sends the request and returns its UpstreamResponse.
 
         Raises:
@@ -60,19 +60,19 @@
                 or states that the request was not executed.
         """
         self.send(params)
-        head = await self.read_head(idle_timeout_s)
-        response = UpstreamResponse(head, await self.read_body(idle_timeout_s))
+        head = await self.read_head(read_timeout_s)
+        response = UpstreamResponse(head, await self.read_body(read_timeout_s))
         self.check_executed(response)
         return response
 
-    async def read_body(self, idle_timeout_s):
+    async def read_body(self, read_timeout_s):
         """Returns the complete body of the current response."""
         body = bytearray()
         if self._req.method == 'HEAD':
             self._conn.forbid_reuse()
             return b''
         while True:
-            item = await self.read_item(idle_timeout_s)
+            item = await self.read_item(read_timeout_s)
             if isinstance(item, _connection.End):
                 return bytes(body)
             body += item.data
@@ -88,9 +88,9 @@
         data = _codec.request_bytes(req.method, req.target, headers, req.body)
         self._conn.send(data)
 
-    async def read_head(self, idle_timeout_s):
+    async def read_head(self, read_timeout_s):
         """Returns the head of the response to this request."""
-        deadline = self._loop.time() + idle_timeout_s
+        deadline = self._loop.time() + read_timeout_s
         while True:
             left_s = min(deadline - self._loop.time(), self._left_s())
             head = await self.read_item(left_s)
--- a/dandelionwinch/platform/_store_codec.py
+++ b/dandelionwinch/platform/_store_codec.py
@@ -188,7 +188,7 @@
         int(item.get('maxHeaderBytes') or default.max_header_bytes),
         int(item.get('maxBodyBytes') or default.max_body_bytes),
         _read_seconds(item.get('headerTimeoutMs'), default.header_timeout_s),
-        _read_seconds(item.get('idleTimeoutMs'), default.idle_timeout_s),
+        _read_seconds(item.get('idleTimeoutMs'), default.keep_alive_timeout_s),
     )
 
 
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -117,12 +117,21 @@
 
 @attrs.frozen
 class Limits:
-    """Limits on the size and the arrival time of callers' requests."""
+    """Limits on callers' requests and connections.
+
+    Attributes:
+        max_header_bytes: Maximum size of the head of a request.
+        max_body_bytes: Maximum size of the body of a request.
+        header_timeout_s: Maximum time from the first byte of a request
+            to the end of its head.
+        keep_alive_timeout_s: Time after which a connection without a
+            request is closed.
+    """
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
     header_timeout_s: float = 3.0
-    idle_timeout_s: float = 15.0
+    keep_alive_timeout_s: float = 15.0
 
 
 class RouteTable:
