--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -84,7 +84,7 @@
             loop,
             self._gateway.handle,
             routes.Limits(),
-            self._gateway.log_early_refusal,
+            self._gateway.log_early_rejection,
         )
         if cfg.callers:
             self._servers['callers'] = (cfg.callers, self._callers)
--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -121,7 +121,7 @@
         )
         caller.respond(status, headers, reason.encode())
 
-    def log_early_refusal(self, status, reason):
+    def log_early_rejection(self, status, reason):
         """Logs a request that was rejected before it was complete."""
         self.log.event('request.refused', status=status, reason=reason)
 
