--- a/dandelionwinch/attempts/_outcome.py
+++ b/dandelionwinch/attempts/_outcome.py
@@ -11,13 +11,13 @@
     Attributes:
         NOT_SENT: The request was not sent.
         NOT_EXECUTED: The upstream stated that it did not execute it.
-        FAILED: The upstream executed it and returned a server error.
+        SERVER_ERROR: The upstream executed it and returned a server error.
         UNKNOWN: The upstream may have executed it.
     """
 
     NOT_SENT = 'not sent'
     NOT_EXECUTED = 'not executed'
-    FAILED = 'failed'
+    SERVER_ERROR = 'failed'
     UNKNOWN = 'unknown'
 
 
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -238,7 +238,7 @@
         exchange.check_executed(response)
         if self._streaming:
             raise _upstream_exchange.AttemptFailed(
-                attempts.AttemptOutcome.FAILED,
+                attempts.AttemptOutcome.SERVER_ERROR,
                 f'status {head.status} on resumption',
             )
         self._accept_response(upstream, response, self._loop.time())
--- a/dandelionwinch/gateway/_request_handler.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -222,7 +222,7 @@
         upstream.record_success(excess_s, now)
         if retryable:
             raise _upstream_exchange.AttemptFailed(
-                attempts.AttemptOutcome.FAILED,
+                attempts.AttemptOutcome.SERVER_ERROR,
                 f'status {response.head.status}',
                 error_response=response,
             )
