--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -32,7 +32,7 @@
             self._fleet.registry.serving(self._service),
             self._tried | self._unavailable,
             now,
-            direct=bool(self._attempt_count),
+            direct=bool(self._sent_count),
             late=self._missed_objective(),
             objective_s=self._route.objective_s,
         )
@@ -86,7 +86,7 @@
                     exchange, params, placement.priority_class
                 )
         except _upstream_exchange.AttemptFailed as exc:
-            self._attempt_count += 1
+            self._sent_count += 1
             raise _upstream_exchange.AttemptFailed(
                 attempts.AttemptOutcome.NOT_EXECUTED, f'prefill: {exc}'
             ) from exc
@@ -136,7 +136,7 @@
                 raise
             # The KV cache handle may have expired; the decode engine can
             # prefill the prompt itself.
-            self._attempt_outcomes.append(exc.outcome)
+            self._failed_outcomes.append(exc.outcome)
             self._log_attempt(exc)
             now = self._loop.time()
             self._gateway.placer.record_kv_handle_refused(placement, now)
@@ -182,7 +182,7 @@
                 else:
                     self.longest_gap_s = max(self.longest_gap_s, now - last_at)
                     self._gateway.placer.record_token_gap(
-                        placement, now - last_at, self._route.event_gap_s, now
+                        placement, now - last_at, self._route.token_gap_s, now
                     )
                 last_at = now
                 await self._relay_event(head, event)
@@ -194,8 +194,8 @@
 
     def _end_stream(self, head, placement):
         if not self._streaming:
-            self._caller.start_stream(200, head.end_to_end())
-        self._caller.end_stream()
+            self._caller_conn.start_stream(200, head.end_to_end())
+        self._caller_conn.end_stream()
         placement.decode.record_success(
             placement.decode.excess_s, self._loop.time()
         )
@@ -220,8 +220,8 @@
             self._last_event_id = event.event_id
         if not self._streaming:
             self._streaming = True
-            self._caller.start_stream(200, head.end_to_end())
-        await self._caller.send_chunk(event.data)
+            self._caller_conn.start_stream(200, head.end_to_end())
+        await self._caller_conn.send_chunk(event.data)
 
     def _record_first_event(self, placement, started_at):
         now = self._loop.time()
--- a/dandelionwinch/gateway/_messages.py
+++ b/dandelionwinch/gateway/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and replies as the gateway sees them, and their codec."""
+"""Types of requests, attempts and replies, and the codec for them."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A caller's request, as parsed by a WireCodec.
+    """A caller's request, as a WireCodec parses it from the Head and body.
 
     Attributes:
         id: Id of the request.
--- a/dandelionwinch/gateway/_request_handler.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -14,12 +14,15 @@
 
 # No attempt starts with less time than this before the deadline.
 MIN_TIME_LEFT_S = 0.02
-MAX_CONNECT_ATTEMPTS = 4
+# Failed attempts, whether sent or not, after which an attempt that could
+# not be sent is the last one.
+MAX_FAILED_ATTEMPTS = 4
 ACQUIRE_TIMEOUT_S = 0.5
-# A request that is sent as the upstream closes the idle connection is
-# reset and may have run, so one that must not run twice needs a margin.
+# A request that is sent just as the upstream closes the unused connection
+# fails with a reset and may have been executed, so a request that must not
+# be executed twice is sent only well before the keep-alive timeout.
 ONCE_MIN_KEEP_ALIVE_S = 1.0
-# Multiple of the route's latency objective.
+# Read timeout as a multiple of the route's latency objective.
 READ_TIMEOUT_FACTOR = 4.0
 MIN_READ_TIMEOUT_S = 0.8
 MIN_RETRY_AFTER_S = 0.2
@@ -30,6 +33,13 @@
 class RequestHandler:
     """Serves one request of a caller; subclasses make the attempts.
 
+    Args:
+        gateway: The Gateway.
+        req: The CallerRequest.
+        route: The Route that matches it.
+        caller: The CallerConnection that receives the response.
+        started_at: Loop time at which the request began to arrive.
+
     Attributes:
         first_event_s: Seconds from the request to the first event, 0 if
             there was none.
@@ -41,9 +51,9 @@
     """
 
     __slots__ = (
-        '_attempt_count',
-        '_attempt_outcomes',
-        '_caller',
+        '_sent_count',
+        '_failed_outcomes',
+        '_caller_conn',
         '_deadline',
         '_error_response',
         '_fleet',
@@ -70,17 +80,21 @@
         self._loop = gateway.loop
         self._req = req
         self._route = route
-        self._caller = caller
+        self._caller_conn = caller
         self._started_at = started_at
         limit_s = route.timeout_s
         if req.timeout_s is not None:
             limit_s = min(limit_s, req.timeout_s)
         self._deadline = started_at + limit_s
         self._service = route.service_for(req.id)
-        self._attempt_outcomes = []
+        # AttemptOutcome of each failed attempt, also of those not sent.
+        self._failed_outcomes = []
+        # Ids of upstreams that got the request, and of those that could
+        # not be reached; neither are tried again.
         self._tried = set()
         self._unavailable = set()
-        self._attempt_count = 0
+        # Requests sent for a response, and failed prefills.
+        self._sent_count = 0
         self._error_response = None
         self._last_event_id = req.last_event_id
         self._streaming = False
@@ -102,8 +116,8 @@
 
     @property
     def attempts(self):
-        """Returns the number of times that the request was sent."""
-        return self._attempt_count
+        """Returns how often the request was sent, or its prefill failed."""
+        return self._sent_count
 
     def elapsed_s(self):
         """Returns the seconds since the request arrived."""
@@ -123,7 +137,7 @@
             self._respond_failed(str(exc))
 
     async def _try_once(self):
-        """Makes one attempt; tells whether another one should follow.
+        """Makes one attempt; returns whether another one follows.
 
         Raises:
             AttemptFailed: If it failed and no other one may follow.
@@ -137,7 +151,7 @@
         except _upstream_exchange.NoFurtherAttempt:
             raise
         except _upstream_exchange.AttemptFailed as exc:
-            self._attempt_outcomes.append(exc.outcome)
+            self._failed_outcomes.append(exc.outcome)
             self._error_response = exc.error_response or self._error_response
             self._log_attempt(exc)
             return self._check_retry(exc)
@@ -147,14 +161,21 @@
         raise NotImplementedError
 
     def _check_retry(self, exc):
-        """Returns True if a retry may follow, and raises `exc` if not."""
+        """Checks that a retry may follow.
+
+        Returns:
+            Always True.
+
+        Raises:
+            AttemptFailed: `exc` itself, if no retry may follow.
+        """
         if not attempts.may_retry(self._route.retry_policy, exc.outcome):
             raise exc
         if exc.outcome is attempts.AttemptOutcome.NOT_SENT:
-            if len(self._attempt_outcomes) >= MAX_CONNECT_ATTEMPTS:
+            if len(self._failed_outcomes) >= MAX_FAILED_ATTEMPTS:
                 raise exc
             return True
-        if len(self._tried) >= self._route.max_attempts:
+        if len(self._tried) >= self._route.max_upstreams:
             raise exc
         if self._left_s() < MIN_TIME_LEFT_S:
             raise exc
@@ -175,7 +196,7 @@
         """Sends the final response after the last failed attempt."""
         if self._streaming:
             self.outcome = 'cut'
-            self._caller.abort()
+            self._caller_conn.abort()
             self._gateway.record_response(self, 0, reason)
             return
         response = self._error_response
@@ -184,7 +205,7 @@
             self._gateway.record_response(self, response.head.status, reason)
             return
         timed_out = self._left_s() < MIN_TIME_LEFT_S
-        status = attempts.final_status(self._attempt_outcomes, timed_out)
+        status = attempts.final_status(self._failed_outcomes, timed_out)
         headers = []
         if status is attempts.FinalStatus.NOT_RUN:
             wait_s = MIN_RETRY_AFTER_S + self._gateway.rng.random() * (
@@ -192,20 +213,23 @@
             )
             headers = self._gateway.wire_codec.retry_after_headers(wait_s)
         self.outcome = status.name.lower()
-        self._caller.respond(int(status), headers, reason.encode())
+        self._caller_conn.respond(int(status), headers, reason.encode())
         self._gateway.record_response(self, int(status), reason)
 
     def _relay(self, response):
         self.outcome = 'relayed'
         headers = response.head.end_to_end()
-        self._caller.respond(response.head.status, headers, response.body)
+        self._caller_conn.respond(response.head.status, headers, response.body)
 
     def _accept_response(self, upstream, response, started_at):
-        """Relays a complete response, or fails to have it retried.
+        """Relays a complete response, unless it is an error to retry.
+
+        Each complete response counts as a success of the upstream,
+        whatever its status.
 
         Raises:
-            AttemptFailed: If it is a server error and the route allows
-                retries.
+            AttemptFailed: If it is a server error and the retry policy of
+                the route allows a retry.
         """
         now = self._loop.time()
         retryable = (
@@ -231,8 +255,8 @@
 
     def _no_upstream(self):
         return _upstream_exchange.NoFurtherAttempt(
-            self._attempt_outcomes[-1]
-            if self._attempt_outcomes
+            self._failed_outcomes[-1]
+            if self._failed_outcomes
             else attempts.AttemptOutcome.NOT_SENT,
             f'service "{self._service}" has no upstream left to try',
             error_response=self._error_response,
@@ -246,7 +270,7 @@
         """
         left_s = self._left_s()
         route = self._route
-        last = len(self._tried) >= route.max_attempts
+        last = len(self._tried) >= route.max_upstreams
         if route.retry_policy is routes.RetryPolicy.ONCE or last:
             return left_s
         timeout_s = READ_TIMEOUT_FACTOR * route.objective_s
@@ -274,7 +298,7 @@
             upstream.eject(now)
             raise self._not_sent(upstream, str(exc)) from exc
         if not self._fleet.registry.serves(upstream):
-            # It began to drain while this request waited.
+            # The upstream began to drain while this request waited.
             pool.release_unused(conn)
             reason = f'upstream "{upstream.entry.id}" is leaving'
             raise self._not_sent(upstream, reason)
@@ -287,21 +311,24 @@
         )
 
     async def _begin_attempt(self, upstream):
-        """Acquires a connection, and spends a retry if this is one."""
+        """Acquires a connection, and spends a retry if this is one.
+
+        Raises:
+            AttemptFailed: If there is no connection.
+            NoFurtherAttempt: If the retry budget is spent.
+        """
         min_keep_alive_s = 0.0
         if self._route.retry_policy is routes.RetryPolicy.ONCE:
             min_keep_alive_s = ONCE_MIN_KEEP_ALIVE_S
         pool, conn = await self._acquire(upstream, min_keep_alive_s)
-        if self._attempt_count and not self._gateway.spend_retry(
-            self._service
-        ):
+        if self._sent_count and not self._gateway.spend_retry(self._service):
             pool.release_unused(conn)
             raise _upstream_exchange.NoFurtherAttempt(
-                self._attempt_outcomes[-1],
+                self._failed_outcomes[-1],
                 'the retry budget is spent',
                 self._error_response,
             )
-        self._attempt_count += 1
+        self._sent_count += 1
         self._tried.add(upstream.entry.id)
         return pool, conn
 
@@ -332,6 +359,7 @@
         except BaseException as exc:
             pool.discard(conn)
             outcome = getattr(exc, 'outcome', None)
+            # NOT_EXECUTED and SERVER_ERROR come from a proper response.
             if outcome is attempts.AttemptOutcome.UNKNOWN:
                 upstream.record_failure(self._loop.time())
             raise
--- a/dandelionwinch/gateway/_server.py
+++ b/dandelionwinch/gateway/_server.py
@@ -15,7 +15,7 @@
 
 @attrs.define
 class IncomingRequest:
-    """A caller's request.
+    """A caller's request as received, before a WireCodec parses it.
 
     Attributes:
         received_at: Loop time at which its first bytes arrived.
@@ -84,6 +84,8 @@
         self._queue.clear()
         if self._task is not None:
             self._task.cancel('the caller has left')
+        # The write buffer of a lost connection never drains, so nothing
+        # may wait for it.
         self.resume_writing()
 
     def data_received(self, data):
@@ -153,6 +155,8 @@
         self._server.report_rejection(status, reason)
         self._closing = True
         if self._task is not None:
+            # Responses are in the order of requests, so none can be
+            # written before the current one has ended.
             self._close_after_response = True
             return
         self.respond(status, (), reason.encode(), close=True)
--- a/dandelionwinch/gateway/_upstream_exchange.py
+++ b/dandelionwinch/gateway/_upstream_exchange.py
@@ -11,10 +11,12 @@
 
 
 class AttemptFailed(Exception):
-    """An attempt brought no response that may be relayed as a success.
+    """An attempt ended without a response that may be relayed.
+
+    A server error is relayed only if no retry follows.
 
     Attributes:
-        outcome: AttemptOutcome.
+        outcome: The AttemptOutcome.
         error_response: A complete error response of the upstream, or None.
     """
 
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -8,12 +8,14 @@
 
 
 class RetryPolicy(enum.Enum):
-    """Whether a request that may have been executed is sent again.
+    """When a request that an upstream may have executed is retried.
+
+    A request that was certainly not executed is retried under each policy.
 
     Attributes:
-        IDEMPOTENT: It is, as executing it twice is harmless.
-        ONCE: It is not.
-        RESUMABLE: It is, to resume a stream after its last event.
+        IDEMPOTENT: Retried, as executing it twice is harmless.
+        ONCE: Never retried.
+        RESUMABLE: Retried, to resume a stream after its last event.
     """
 
     IDEMPOTENT = 'idempotent'
@@ -34,6 +36,7 @@
     """A route from a host and a path prefix to services.
 
     Attributes:
+        host: Host name of the requests, with or without a port.
         prefix: Prefix of the paths, with a slash at both ends.
         retry_policy: RetryPolicy of its requests.
         streaming: Whether responses are streams of server-sent events.
@@ -41,11 +44,13 @@
         objective_s: Latency objective of the response, or of the first
             event of a stream.
         priority: Priority of the route, 0 is the highest.
-        max_attempts: Maximum number of upstreams for one request.
+        max_upstreams: Maximum number of upstreams that one request is
+            sent to.
         shares: The services and their weights.
-        sticky: Whether requests carry a prompt that upstreams cache.
-        event_gap_s: Objective for the time between two events of a
-            stream, 0 if there is none.
+        sticky_sessions: Field `stickySessions` of the configuration,
+            which nothing reads.
+        token_gap_s: Objective of the inter-token latency, compared with
+            the time between two events of a stream; 0 if there is none.
     """
 
     name: str
@@ -56,10 +61,10 @@
     timeout_s: float
     objective_s: float
     priority: int
-    max_attempts: int
+    max_upstreams: int
     shares: tuple[TrafficShare, ...]
-    sticky: bool = False
-    event_gap_s: float = 0.0
+    sticky_sessions: bool = False
+    token_gap_s: float = 0.0
 
     def service_for(self, request_id):
         """Returns the service of a request.
@@ -80,7 +85,7 @@
 
 @attrs.frozen
 class EngineSpec:
-    """Properties of each model engine of a service.
+    """Properties of the model engines of a service, alike for each.
 
     Attributes:
         slots: Maximum number of concurrent requests.
@@ -88,7 +93,8 @@
         kv_token_bytes: Size of one token in the KV cache.
         handle_ttl_s: Time for which the KV cache of a prefilled prompt
             is held.
-        role_switch_s: Duration of a change of role.
+        role_switch_s: Duration of a change between the prefill and the
+            decode role.
     """
 
     slots: int
@@ -138,7 +144,10 @@
     """Routes, services and limits of one version.
 
     Attributes:
+        limits: Limits on callers' requests and connections.
         services: Mapping of name to Service.
+        version: Number that the configuration gives itself, higher in a
+            newer one; not the revision of the store.
     """
 
     __slots__ = ('_by_host', 'limits', 'services', 'version')
