--- a/dandelionwinch/attempts/_outcome.py
+++ b/dandelionwinch/attempts/_outcome.py
@@ -6,13 +6,13 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt without a complete response ended.
+    """How a failed attempt ended.
 
     Attributes:
         NOT_SENT: The request was not sent.
         NOT_EXECUTED: The upstream stated that it did not execute it.
-        SERVER_ERROR: The upstream executed it and returned a server error.
-        UNKNOWN: The upstream may have executed it.
+        SERVER_ERROR: The upstream returned a complete server error.
+        UNKNOWN: No complete response; the upstream may have executed it.
     """
 
     NOT_SENT = 'not sent'
@@ -22,7 +22,13 @@
 
 
 class FinalStatus(enum.IntEnum):
-    """HTTP status of a final response that the gateway generates."""
+    """HTTP status of a final response that the gateway generates.
+
+    Attributes:
+        BAD_GATEWAY: An upstream may have executed the request.
+        NOT_RUN: No upstream executed the request.
+        TIMEOUT: As BAD_GATEWAY, and the deadline of the request has passed.
+    """
 
     BAD_GATEWAY = 502
     NOT_RUN = 503
@@ -30,7 +36,7 @@
 
 
 def may_retry(retry_policy, outcome):
-    """Tells whether a request may be sent once more.
+    """Returns whether a request may be sent once more.
 
     Args:
         retry_policy: RetryPolicy of the route.
--- a/dandelionwinch/attempts/_retry_budget.py
+++ b/dandelionwinch/attempts/_retry_budget.py
@@ -3,7 +3,8 @@
 import collections
 
 WINDOW_BUCKETS = 10
-# Below 1 to leave room for instances that are not known yet.
+# Parts of the ratio and of the slack that instances use; the rest is left
+# for instances that are not known yet.
 RATIO_FACTOR = 0.85
 SLACK_FACTOR = 0.7
 
@@ -12,12 +13,16 @@
     """One instance's portion of the retry budgets of all services.
 
     For each service an instance may retry a ratio of the requests that
-    it received itself in a sliding window, and a portion of a fixed
-    allowance, the slack. The portions of all instances add up to less
-    than the whole budget, which covers instances not known yet. The
+    it received itself in a sliding window. In addition it may use its
+    portion of the slack, an allowance that does not depend on the number
+    of requests. The portions of all known instances add up to less than
+    the whole budget; the rest is left for instances not known yet. The
     slack grows linearly to its full size over the first window: right
     after a simultaneous restart no instance has counted the others yet.
 
+    The budget for jobs of the entry daemon is `limits.RetryBudget`, which
+    bounds the retries of one instance by its own successes.
+
     Args:
         ratio: Retries allowed for each request, for all instances.
         slack: Retries allowed in addition per window, for all instances.
@@ -44,7 +49,8 @@
     def record_request(self, service, now):
         """Records a caller's request for a service."""
         self._add(self._requests, service, now)
-        self._slack_ratio(now)
+        # The slack grows from the first request on.
+        self._slack_growth(now)
 
     def spend(self, service, capacity_ratio, now):
         """Spends one retry if the budget allows it; tells whether it did.
@@ -57,15 +63,18 @@
         """
         requests = self._count(self._requests, service, now)
         retries = self._count(self._retries, service, now)
-        slack = self._slack * self._slack_ratio(now) / capacity_ratio
+        slack = self._slack * self._slack_growth(now) / capacity_ratio
         allowed = self._ratio * requests + slack
         if retries + 1 > allowed:
             return False
         self._add(self._retries, service, now)
         return True
 
-    def _slack_ratio(self, now):
-        """Returns the ratio of the slack that is available by now."""
+    def _slack_growth(self, now):
+        """Returns the part of the slack that is available, 0 to 1.
+
+        The first call sets the time from which the slack grows.
+        """
         if self._started_at is None:
             self._started_at = now
         return min(
--- a/dandelionwinch/limits/_retry_budget.py
+++ b/dandelionwinch/limits/_retry_budget.py
@@ -1,11 +1,14 @@
-"""A retry budget that limits retries to a ratio of successes."""
+"""A retry budget that bounds retries by a ratio of successes."""
 
 MAX_BALANCE_RETRIES = 20.0
 INITIAL_BALANCE_RETRIES = 10.0
 
 
 class RetryBudget:
-    """Retry budget earned by successful jobs.
+    """Retry budget of one instance for one model or service.
+
+    Successful jobs earn retries. Instances do not share this budget; the
+    one that instances share is `attempts.SharedRetryBudget`.
 
     Args:
         ratio: Retries that each success earns.
