--- a/dandelionwinch/limits/_admission.py
+++ b/dandelionwinch/limits/_admission.py
@@ -7,7 +7,7 @@
 RATE_WINDOW_S = 5.0
 # Minimum share of a rate limit, as a multiple of an even share.
 MIN_EVEN_SHARE_RATIO = 0.1
-# Part of an instance's places above which teams get places by weight.
+# Part of an instance's slots above which teams get slots by weight.
 BUSY_RATIO = 0.75
 
 
@@ -18,15 +18,17 @@
     Attributes:
         tokens: Jobs that may be admitted at once.
         filled_at: Time of the last refill.
-        used: Jobs admitted in the rate window, decayed linearly.
-        used_at: Time of the last admission.
+        recent_jobs: Jobs admitted recently. At each admission the sum so
+            far decays linearly with the time since the one before, to 0
+            after RATE_WINDOW_S.
+        admitted_at: Time of the last admission.
         jobs: Jobs in progress.
     """
 
     tokens: float
     filled_at: float
-    used: float = 0.0
-    used_at: float = 0.0
+    recent_jobs: float = 0.0
+    admitted_at: float = 0.0
     jobs: int = 0
 
 
@@ -36,12 +38,12 @@
     A team's rate limit applies to all instances together. Each instance
     applies a share of it, in proportion to the rates of admitted jobs,
     its own and those that peers report in heartbeats; no store call is
-    made for a job. While most places of an instance are free, a team may
-    exceed its share of places; above BUSY_RATIO, teams get places by
-    weight.
+    made for a job. Apart from rates, a job takes one of the instance's
+    slots. While most slots are free, a team may take any number of them;
+    above BUSY_RATIO a team that holds its part by weight gets no more.
 
     Args:
-        max_jobs: Places, the maximum number of concurrent jobs.
+        max_jobs: Number of slots, the maximum of concurrent jobs.
 
     Attributes:
         jobs: Jobs in progress.
@@ -70,18 +72,25 @@
         rates = {}
         for team, bucket in self._buckets.items():
             rate = self._rate(bucket, now)
+            # A rate that has decayed to almost nothing is not reported.
             if rate > 0.01:
                 rates[team] = rate
         return rates
 
     @staticmethod
     def _rate(bucket, now):
-        age_s = now - bucket.used_at
-        kept = max(0.0, 1 - age_s / RATE_WINDOW_S)
-        return bucket.used * kept / RATE_WINDOW_S
+        age_s = now - bucket.admitted_at
+        decay = max(0.0, 1 - age_s / RATE_WINDOW_S)
+        return bucket.recent_jobs * decay / RATE_WINDOW_S
 
     def share(self, team, instances, now):
-        """Returns this instance's share of a team's rate limit."""
+        """Returns this instance's share of a team's rate limit, 0 to 1.
+
+        Args:
+            team: The team's limits.
+            instances: Number of instances that share the limit.
+            now: Time in seconds.
+        """
         own = self._rate(self._bucket(team, now), now)
         others = sum(
             rates.get(team.name, 0.0)
@@ -91,18 +100,20 @@
         even = 1 / max(1, instances)
         if own + others <= 0:
             return even
+        # One more job per second, split evenly, is added to the rates: the
+        # lower they are, the closer a share is to an even one.
         wanted = (own + even) / (own + others + 1)
         return max(MIN_EVEN_SHARE_RATIO * even, wanted)
 
     def _bucket(self, team, now):
         bucket = self._buckets.get(team.name)
         if bucket is None:
-            bucket = _Bucket(float(team.burst_jobs), now, used_at=now)
+            bucket = _Bucket(float(team.burst_jobs), now, admitted_at=now)
             self._buckets[team.name] = bucket
         return bucket
 
     def admit(self, team, teams_weight, instances, now):
-        """Admits a job or refuses it.
+        """Admits a job: spends a token of its team and takes a slot.
 
         Args:
             team: The team's limits.
@@ -145,9 +156,9 @@
 
     def _reserve(self, bucket, now):
         bucket.tokens -= 1
-        kept = max(0.0, 1 - (now - bucket.used_at) / RATE_WINDOW_S)
-        bucket.used = bucket.used * kept + 1
-        bucket.used_at = now
+        decay = max(0.0, 1 - (now - bucket.admitted_at) / RATE_WINDOW_S)
+        bucket.recent_jobs = bucket.recent_jobs * decay + 1
+        bucket.admitted_at = now
         bucket.jobs += 1
         self.jobs += 1
 
@@ -156,7 +167,7 @@
         return [name for name, b in self._buckets.items() if b.jobs]
 
     def release(self, team_name):
-        """Releases the place of a finished job."""
+        """Releases the slot of a finished job."""
         bucket = self._buckets.get(team_name)
         if bucket is not None and bucket.jobs > 0:
             bucket.jobs -= 1
