--- a/dandelionwinch/addresses/__init__.py
+++ b/dandelionwinch/addresses/__init__.py
@@ -1,4 +1,8 @@
-"""Chooses the instances that clients and callers connect to."""
+"""Chooses the instances to connect to.
+
+`nearest` serves callers, who send requests to the gateway, and `assign`
+serves clients, who send jobs to the entry daemon.
+"""
 
 from dandelionwinch.addresses._assignment import assign
 from dandelionwinch.addresses._assignment import Assignment
--- a/dandelionwinch/addresses/_assignment.py
+++ b/dandelionwinch/addresses/_assignment.py
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Assignment:
-    """The instance that a client should use.
+    """The instance that a client of the entry daemon should use.
 
     Attributes:
         address: Address of the instance.
@@ -45,10 +45,10 @@
     """
     if not usable:
         return None
-    near = [peer for peer in usable if peer.data_centre == data_centre]
-    ranked = _ranked(near, team)
-    far = [peer for peer in usable if peer not in near]
-    ranked += _ranked(far, team)
+    local = [peer for peer in usable if peer.data_centre == data_centre]
+    ranked = _ranked(local, team)
+    remote = [peer for peer in usable if peer not in local]
+    ranked += _ranked(remote, team)
     first = ranked[0]
     second = ranked[1].member.client_address if len(ranked) > 1 else ''
     return Assignment(first.member.client_address, first.name, second, valid_s)
--- a/dandelionwinch/addresses/_nearest.py
+++ b/dandelionwinch/addresses/_nearest.py
@@ -1,4 +1,4 @@
-"""Lists the instances that a caller should connect to.
+"""Lists the instances that a caller of the gateway should connect to.
 
 A caller picks one of the returned addresses at random. So that unequal
 instances get callers in proportion to their capacity, an instance is
@@ -29,8 +29,9 @@
 def nearest(entries, data_centre, region, rng):
     """Returns addresses for a caller.
 
-    Instances of the caller's data centre suffice if there are two of
-    them; farther ones cost traffic and latency on each request.
+    Instances of the caller's data centre suffice if there are
+    MIN_ADDRESSES of them, as others cost traffic and latency on each
+    request. If not, those of its region are added, then all others.
 
     Args:
         entries: InstanceEntry of each instance that is ready.
@@ -42,11 +43,11 @@
         A list of addresses, in a stable order.
     """
     entries = list(entries)
-    same = [e for e in entries if e.data_centre == data_centre]
-    near = [e for e in entries if e.region == region and e not in same]
-    far = [e for e in entries if e not in same and e not in near]
+    local = [e for e in entries if e.data_centre == data_centre]
+    regional = [e for e in entries if e.region == region and e not in local]
+    remote = [e for e in entries if e not in local and e not in regional]
     chosen = []
-    for group in (same, near, far):
+    for group in (local, regional, remote):
         if len(chosen) >= MIN_ADDRESSES:
             break
         chosen += _sample(group, rng)
@@ -55,7 +56,7 @@
 
 
 def _sample(group, rng):
-    """Samples a group by capacity; returns MIN_ADDRESSES if it has them."""
+    """Samples instances by capacity, at least MIN_ADDRESSES if possible."""
     largest = max((e.capacity for e in group), default=0.0)
     sampled = [e for e in group if rng.random() * largest < e.capacity]
     ranked = sorted(group, key=lambda e: -e.capacity)
