--- a/dandelionwinch/delivery.py
+++ b/dandelionwinch/delivery.py
@@ -34,6 +34,8 @@
             self._report_end('done', '', self._tokens())
             raise
         except errors.DandelionwinchError as exc:
+            # The generator has already yielded the error as its last event,
+            # so for the client's connection the response ends here.
             self._report_end(final_state(exc), exc.code, 0)
             raise StopIteration from None
 
@@ -49,6 +51,10 @@
 
 
 def final_state(exc):
-    """Returns the final state of a job that failed with an error."""
+    """Returns the final state of a job that failed with an error.
+
+    It is 'unknown' if it is not known whether the job was executed, and
+    'refused' for every other failure, also one at an upstream.
+    """
     unknown = exc.execution is errors.ExecutionStatus.UNKNOWN
     return 'unknown' if unknown else 'refused'
