--- a/dandelionwinch/gateway/_request_handler.py
+++ b/dandelionwinch/gateway/_request_handler.py
@@ -89,8 +89,8 @@
         self._service = route.service_for(req.id)
         # AttemptOutcome of each failed attempt, also of those not sent.
         self._failed_outcomes = []
-        # Ids of upstreams that got the request, and of those that could
-        # not be reached; neither are tried again.
+        # Ids of upstreams that the request was sent to, and of those that
+        # it could not be sent to; neither are tried again.
         self._tried = set()
         self._unavailable = set()
         # Requests sent for a response, and failed prefills.
--- a/dandelionwinch/gateway/_server.py
+++ b/dandelionwinch/gateway/_server.py
@@ -9,6 +9,7 @@
 
 MAX_PIPELINED_REQUESTS = 8
 SWEEP_INTERVAL_S = 0.5
+# Maximum time from the first bytes of a request to the end of its body.
 BODY_TIMEOUT_S = 20.0
 LISTEN_BACKLOG = 1024
 
--- a/dandelionwinch/routes/_table.py
+++ b/dandelionwinch/routes/_table.py
@@ -85,7 +85,7 @@
 
 @attrs.frozen
 class EngineSpec:
-    """Properties of the model engines of a service, alike for each.
+    """Properties that all model engines of a service have in common.
 
     Attributes:
         slots: Maximum number of concurrent requests.
