--- a/dandelionwinch/gateway/_server.py
+++ b/dandelionwinch/gateway/_server.py
@@ -9,13 +9,14 @@
 
 MAX_PIPELINED_REQUESTS = 8
 SWEEP_INTERVAL_S = 0.5
+# Maximum time from the first bytes of a request to the end of its body.
 BODY_TIMEOUT_S = 20.0
 LISTEN_BACKLOG = 1024
 
 
 @attrs.define
 class IncomingRequest:
-    """A caller's request.
+    """A caller's request as received, before a WireCodec parses it.
 
     Attributes:
         received_at: Loop time at which its first bytes arrived.
@@ -84,6 +85,8 @@
         self._queue.clear()
         if self._task is not None:
             self._task.cancel('the caller has left')
+        # The write buffer of a lost connection never drains, so nothing
+        # may wait for it.
         self.resume_writing()
 
     def data_received(self, data):
@@ -153,6 +156,8 @@
         self._server.report_rejection(status, reason)
         self._closing = True
         if self._task is not None:
+            # Responses are in the order of requests, so none can be
+            # written before the current one has ended.
             self._close_after_response = True
             return
         self.respond(status, (), reason.encode(), close=True)
@@ -221,7 +226,7 @@
         limits = self._server.limits
         if self._request_started_at is None:
             idle_s = now - self._idle_since
-            if idle_s > limits.idle_timeout_s or self._server.draining:
+            if idle_s > limits.keep_alive_timeout_s or self._server.draining:
                 self._close()
             return
         limit_s = limits.header_timeout_s
