--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -254,11 +254,11 @@
         if previous is None or (
             previous.ready,
             previous.role,
-            previous.born,
+            previous.started_at_ms,
         ) != (
             entry.ready,
             entry.role,
-            entry.born,
+            entry.started_at_ms,
         ):
             self._log.event(
                 'upstream.changed',
@@ -267,7 +267,7 @@
                 data_centre=entry.data_centre,
                 ready=entry.ready,
                 role=entry.role.value,
-                born=entry.born,
+                born=entry.started_at_ms,
                 revision=item.revision,
             )
 
@@ -282,10 +282,10 @@
 
     def _after_response(self, now):
         """Applies what is due after each response of the store."""
-        self._gateway.set_instance_count(
-            self.registered.instance_count(self._capacity, now)
+        self._gateway.set_capacity_ratio(
+            self.registered.capacity_ratio(self._capacity, now)
         )
-        for name in self._guard.due(now):
+        for name in self._guard.pop_due(now):
             self._remove_upstream(name, now, held=True)
 
     def _remove_upstream(self, name, now, held):
--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of calls that may run only once: batching and resolving."""
+"""Claims on calls that may run only once: batched writes, resolution."""
 
 import asyncio
 
@@ -13,68 +13,85 @@
 from dandelionwinch import utils
 
 FORWARD_TIMEOUT_S = 1.5
-FULL_SCAN_S = 30.0
-DISOWN_RETRY_S = 1.0
-MAX_PENDING = 4096
+# Buckets without known unresolved claims are read again after this time.
+FULL_SCAN_INTERVAL_S = 30.0
+BACKLOG_RETRY_S = 1.0
+MAX_PENDING_PER_BUCKET = 4096
 CLOSE_WAIT_S = 0.3
 
 
 @attrs.define
-class _Pending:
-    """Changes that wait for the next write of a bucket."""
+class _PendingBatch:
+    """Claim changes for the next write of a bucket.
+
+    Attributes:
+        items: Pairs of a change and the future of its result.
+        task: Task that writes the batches, or None.
+    """
 
     items: list = attrs.field(factory=list)
     task: object = None
 
 
 class Claims:
-    """Writes claims in batches and settles those without an outcome.
+    """Writes claims in batches and resolves those without an outcome.
 
-    Each bucket has a usual owner, to whom others forward their changes
-    so that writes batch. This is for cost only: any instance may write
-    any bucket, and compare-and-swap keeps it safe.
+    Each bucket has an owner, chosen by rendezvous hashing, to which other
+    instances forward their changes so that one store write carries many.
+    This only saves store writes: any instance may write any bucket, and
+    compare-and-swap keeps that safe.
     """
 
     def __init__(self, core):
         self._core = core
         self._pending = {}
         self._backlog = []
-        self._unresolved = {}
+        self._unresolved_counts = {}
         self._scanned_at = {}
 
-    def runs(self):
-        """Returns the coroutines of this task."""
+    def coroutines(self):
+        """Returns the coroutines of the background tasks."""
         cfg = self._core.cfg.claims
         rng = self._core.rng
         yield _periodic.every(cfg.resolve_s, self._resolve_all, rng)
-        yield _periodic.every(DISOWN_RETRY_S, self._settle_backlog, rng)
+        yield _periodic.every(BACKLOG_RETRY_S, self._retry_backlog, rng)
 
     async def open(self, opening):
-        """Asks for the right to send a call once."""
+        """Opens a claim.
+
+        Args:
+            opening: A claims.Open.
+
+        Returns:
+            claims.Granted if the call may be sent, else the result that
+            says why not.
+        """
         result = await self._route(opening)
         if isinstance(result, claims.Unsettled):
-            # The claim may stand although the call is refused: undo it.
+            # The claim may have been written although the call is
+            # refused, so it is closed as not run.
             self._backlog.append(
                 claims.Close(opening.key, opening.token, claims.State.NOT_RUN)
             )
         return result
 
     async def close_claim(self, close):
-        """Records what became of a call; repeats until it is written.
+        """Records the outcome of a call and retries until it is written.
 
-        The caller waits only a moment: the outcome is certain, and a
-        claim that stays open for a while is merely looked into.
+        The caller waits ``CLOSE_WAIT_S`` at most. The outcome is certain
+        by then, and the only effect of a claim that stays open for longer
+        is that it may be resolved through the service.
         """
         self._core.event('claim.closed', close.key, str(close.state))
-        task = asyncio.create_task(self._close_or_keep(close))
+        task = asyncio.create_task(self._close_or_queue(close))
         await asyncio.wait([task], timeout=CLOSE_WAIT_S)
 
-    async def _close_or_keep(self, close):
+    async def _close_or_queue(self, close):
         result = await self._route(close)
         if not isinstance(result, claims.Recorded):
             self._backlog.append(close)
 
-    async def _settle_backlog(self):
+    async def _retry_backlog(self):
         backlog, self._backlog = self._backlog, []
         for close in backlog:
             result = await self._route(close)
@@ -82,15 +99,17 @@
                 self._backlog.append(close)
 
     async def flush(self):
-        """Tries once to write what is not written yet."""
-        await self._settle_backlog()
+        """Tries once to write the outcomes that are not written yet."""
+        await self._retry_backlog()
 
     def _owner(self, bucket):
         core = self._core
         usable = core.members.usable(core.now())
         if not usable:
             return None
-        best = max(usable, key=lambda k: utils.stable_hash(bucket, k.name))
+        best = max(
+            usable, key=lambda peer: utils.stable_hash(bucket, peer.name)
+        )
         return None if best is core.members.local else best
 
     async def _route(self, mutation):
@@ -111,29 +130,38 @@
                 return _wire.load_result(reply.result)
         result = await self.write(bucket, mutation)
         if owner is not None and isinstance(result, claims.Unreached):
-            # The silent owner may still write it.
+            # The owner gave no reply in time but may still write it.
             return claims.Unsettled()
         return result
 
     async def write(self, bucket, mutation):
-        """Adds a change to the next write of a bucket."""
-        pending = self._pending.setdefault(bucket, _Pending())
-        if len(pending.items) >= MAX_PENDING:
+        """Adds a change to the next write of a bucket.
+
+        Args:
+            bucket: Store key of the bucket.
+            mutation: A claims.Open or claims.Close.
+
+        Returns:
+            The result of the change; claims.Unreached if too many changes
+            of the bucket are waiting.
+        """
+        pending = self._pending.setdefault(bucket, _PendingBatch())
+        if len(pending.items) >= MAX_PENDING_PER_BUCKET:
             return claims.Unreached()
         fut = asyncio.get_running_loop().create_future()
         pending.items.append((mutation, fut))
         if pending.task is None:
-            pending.task = asyncio.create_task(self._write_out(bucket))
+            pending.task = asyncio.create_task(self._write_batches(bucket))
         return await fut
 
-    async def _write_out(self, bucket):
+    async def _write_batches(self, bucket):
         pending = self._pending[bucket]
         try:
             while pending.items:
                 await asyncio.sleep(self._core.cfg.claims.batch_wait_s)
                 batch, pending.items = pending.items, []
                 mutations = [mutation for mutation, _fut in batch]
-                results = await self._core.run(
+                results = await self._core.run_program(
                     claims.commit_batch(
                         bucket, mutations, self._core.cfg.claims
                     )
@@ -152,30 +180,30 @@
         for number in range(core.cfg.claims.buckets):
             bucket = claims.bucket_key(number)
             if self._owner(bucket) is not None:
-                self._unresolved.pop(bucket, None)
+                self._unresolved_counts.pop(bucket, None)
                 continue
             scanned_at = self._scanned_at.get(bucket, float('-inf'))
-            due = now - scanned_at >= FULL_SCAN_S
-            if due or self._unresolved.get(bucket):
+            due = now - scanned_at >= FULL_SCAN_INTERVAL_S
+            if due or self._unresolved_counts.get(bucket):
                 self._scanned_at[bucket] = now
                 await self._resolve(bucket)
-        unresolved = sum(self._unresolved.values())
+        unresolved = sum(self._unresolved_counts.values())
         core.metrics.claims_open.set(unresolved)
 
     async def _resolve(self, bucket):
         core = self._core
-        reply = await core.execute(effects.Read(bucket))
+        reply = await core.call_store(effects.Read(bucket))
         if not isinstance(reply, effects.Found):
             return
-        held = claims.Bucket.load(core.cfg.claims, reply.record.value)
-        waiting = [
+        stored = claims.Bucket.load(core.cfg.claims, reply.record.value)
+        to_resolve = [
             claim
-            for claim in held.claims()
+            for claim in stored.claims()
             if claim.state in (claims.State.OPEN, claims.State.UNKNOWN)
         ]
-        self._unresolved[bucket] = len(waiting)
-        clock = await core.run(_read_clock())
-        for claim in waiting:
+        self._unresolved_counts[bucket] = len(to_resolve)
+        clock = await core.run_program(_read_clock())
+        for claim in to_resolve:
             await self._resolve_claim(bucket, claim, clock)
 
     async def _resolve_claim(self, bucket, claim, clock):
@@ -184,7 +212,7 @@
         gone = core.departures.is_gone(holder, int(incarnation), clock.now)
         if not claims.needs_resolution(claim, gone):
             return
-        answer = await self._ask_back_end(claim)
+        answer = await self._query_outcome(claim)
         status = claims.OutcomeStatus.INDETERMINATE
         match answer:
             case service_adapter.Ran():
@@ -211,7 +239,7 @@
         await self.write(bucket, close)
         core.event('claim.resolved', claim.key, str(state))
 
-    async def _ask_back_end(self, claim):
+    async def _query_outcome(self, claim):
         core = self._core
         name, _, key = claim.key.partition('/')
         service = core.catalog.get('service', name)
@@ -223,7 +251,9 @@
             for upstream in core.catalog.upstreams_of(pool.name)
         ]
         answers = [
-            await core.call(core.services.outcome, upstream.address, key)
+            await core.run_blocking(
+                core.services.fetch_outcome, upstream.address, key
+            )
             for upstream in upstreams
         ]
         for answer in answers:
@@ -234,14 +264,14 @@
         return service_adapter.CannotSay()
 
     async def rows(self):
-        """Returns all claims, or None if the store was not reached."""
-        reply = await self._core.execute(effects.Scan('claims/'))
+        """Returns all claims in the store, or None if it was not reached."""
+        reply = await self._core.call_store(effects.Scan('claims/'))
         if not isinstance(reply, effects.Scanned):
             return None
         found = []
         for record in reply.records:
-            held = claims.Bucket.load(self._core.cfg.claims, record.value)
-            found.extend(held.claims())
+            stored = claims.Bucket.load(self._core.cfg.claims, record.value)
+            found.extend(stored.claims())
         return found
 
 
--- a/dandelionwinch/daemon/_operators.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -1,4 +1,4 @@
-"""Answers statements of the operators' language."""
+"""Runs statements of the operators' language."""
 
 import asyncio
 
@@ -14,22 +14,29 @@
 from dandelionwinch import timeline
 
 EVENTS_PER_INSTANCE = 4096
-ACCEPT_TIMEOUT_S = 6.0
-ACCEPT_STEP_S = 0.1
+ROLLOUT_TIMEOUT_S = 6.0
+ROLLOUT_POLL_S = 0.1
 
 
-class Operators:
-    """Runs queries and commands."""
+class StatementRunner:
+    """Runs queries and commands of operators."""
 
     def __init__(self, core):
         self._core = core
 
-    async def ask(self, text):
+    async def run(self, text):
         """Runs one statement.
 
+        Args:
+            text: The statement.
+
         Returns:
             A mapping for JSON: rows of a query or the result of a
             command.
+
+        Raises:
+            DandelionwinchError: If the statement is invalid or cannot be
+                carried out.
         """
         statement = language.parse(text)
         match statement:
@@ -62,30 +69,35 @@
             case 'settings':
                 return _tables.setting_rows(core), []
             case 'events':
-                lines, silent = await self.events()
-                return _tables.event_rows(lines), silent
+                timeline_items, silent = await self.events()
+                return _tables.event_rows(timeline_items), silent
             case 'shards' | 'orders':
                 return await self._shard_rows(table), []
             case 'claims':
                 return await self._claim_rows(), []
             case 'jobs' | 'earnings':
-                return await self._gather(table, '')
+                return await self._gather_rows(table, '')
         return _tables.document_rows(core, table), []
 
     def own_rows(self, table, row_id):
-        """Returns this instance's rows of a gathered table."""
+        """Returns this instance's rows of a table that every instance has.
+
+        Args:
+            table: ``jobs``, ``earnings``, or ``job`` for a single job.
+            row_id: Identifier of the job, for ``job``.
+        """
         match table:
             case 'jobs':
                 return _tables.job_rows(self._core)
             case 'earnings':
                 return _tables.earning_rows(self._core)
             case 'job':
-                return self._own_job(row_id)
+                return self._own_job_rows(row_id)
         return []
 
-    async def _gather(self, table, row_id):
+    async def _gather_rows(self, table, row_id):
         request = peer_pb2.RowsRequest(table=table, id=row_id)
-        replies = await self._core.peers.all('Rows', request)
+        replies = await self._core.peers.broadcast('Rows', request)
         rows = list(self.own_rows(table, row_id))
         silent = []
         for name, reply in replies.items():
@@ -96,26 +108,26 @@
         return rows, silent
 
     async def events(self):
-        """Gathers the time line over all live instances.
+        """Merges the timelines of all live instances.
 
         Returns:
-            Events and gaps in causal order, and the instances that
-            did not answer.
+            Events and gaps in causal order, and the names of the
+            instances that did not answer.
         """
         core = self._core
         request = peer_pb2.EventsRequest(limit=EVENTS_PER_INSTANCE)
-        replies = await core.peers.all('Events', request)
-        rings = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
+        replies = await core.peers.broadcast('Events', request)
+        event_lists = [core.event_buffer.latest(EVENTS_PER_INSTANCE)]
         silent = []
         for name, reply in replies.items():
             if reply is None:
                 silent.append(name)
             else:
-                rings.append([_wire.load_event(e) for e in reply.events])
-        return timeline.merge(rings), silent
+                event_lists.append([_wire.load_event(e) for e in reply.events])
+        return timeline.merge(event_lists), silent
 
     async def _shard_rows(self, table):
-        reply = await self._core.execute(effects.Scan('shards/'))
+        reply = await self._core.call_store(effects.Scan('shards/'))
         if not isinstance(reply, effects.Scanned):
             raise errors.StoreUnavailable(
                 f'table "{table}" is in the store, which was not reached'
@@ -160,7 +172,7 @@
             for claim in held
         ]
 
-    def _own_job(self, job_id):
+    def _own_job_rows(self, job_id):
         record = self._core.scheduler.job_history.get(job_id)
         if record is None:
             return []
@@ -175,7 +187,7 @@
         ]
 
     async def _explain_job(self, job_id):
-        rows, silent = await self._gather('job', job_id)
+        rows, silent = await self._gather_rows('job', job_id)
         if not rows:
             where = f' (silent: {", ".join(silent)})' if silent else ''
             raise errors.NotFound(
@@ -211,31 +223,40 @@
                 'this instance is cut off and takes no commands'
             )
         self._check_instance(statement)
-        unheld = await self._hold_first(statement)
-        asked_at = core.now()
+        unconfirmed_holds = await self._hold_before_commit(statement)
+        requested_at = core.now()
         try:
             revision = await core.settings.change(
                 lambda documents: language.edits_of(statement, documents)
             )
         except errors.StoreUnavailable as exc:
-            if unheld is None:
+            if unconfirmed_holds is None:
                 raise
-            return self._held_only(statement, unheld, exc)
+            return self._held_without_commit(statement, unconfirmed_holds, exc)
         core.event('command.committed', f'revision {revision}', str(statement))
         if isinstance(statement, language.Undrain):
             await core.shards.end_drain(statement.name)
-        return await self._await_acceptance(revision, asked_at)
+        return await self._wait_for_rollout(revision, requested_at)
 
     def _check_instance(self, statement):
         if getattr(statement, 'kind', '') != 'instance':
             return
-        names = {known.name for known in self._core.members.all_instances()}
+        names = {peer.name for peer in self._core.members.all_instances()}
         if statement.name not in names:
             raise errors.NotFound(
                 f'instance "{statement.name}" does not exist'
             )
 
-    async def _hold_first(self, statement):
+    async def _hold_before_commit(self, statement):
+        """Holds an upstream that is to be drained or retired.
+
+        New jobs stay off it at once, even if the store is down. A command
+        that requires a revision must be checked by the store first.
+
+        Returns:
+            Names of the live instances that did not confirm the hold, or
+            None if there is no hold.
+        """
         match statement:
             case language.Drain(kind='upstream') | language.Retire():
                 pass
@@ -248,7 +269,8 @@
             return None
         return await self._core.shards.hold_for_drain(name)
 
-    def _held_only(self, statement, unheld, exc):
+    def _held_without_commit(self, statement, unconfirmed_holds, exc):
+        """Returns the result of a drain that is held but not stored."""
         text = (
             f'upstream "{statement.name}" gets no new work from the live '
             'instances, but this is not stored: repeat the command when '
@@ -257,29 +279,29 @@
         return {
             'accepted': False,
             'revision': None,
-            'unconfirmed': unheld,
+            'unconfirmed': unconfirmed_holds,
             'message': f'{text} ({exc.message})',
         }
 
-    async def _await_acceptance(self, revision, asked_at):
+    async def _wait_for_rollout(self, revision, requested_at):
         core = self._core
         data_centres = membership.populated_data_centres(core.not_gone())
-        watch = revisions.RolloutTracker(
+        tracker = revisions.RolloutTracker(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
             now = core.now()
             core.members.local.revision = core.documents.revision
-            verdict = watch.observe(core.not_gone(), now)
-            if verdict.accepted or now - asked_at > ACCEPT_TIMEOUT_S:
+            rollout = tracker.observe(core.not_gone(), now)
+            if rollout.accepted or now - requested_at > ROLLOUT_TIMEOUT_S:
                 break
-            await asyncio.sleep(ACCEPT_STEP_S)
+            await asyncio.sleep(ROLLOUT_POLL_S)
         return {
-            'accepted': verdict.accepted,
+            'accepted': rollout.accepted,
             'revision': revision,
-            'seconds': round(core.now() - asked_at, 3),
-            'unconfirmed': list(verdict.unconfirmed),
-            'message': verdict.reason,
+            'seconds': round(core.now() - requested_at, 3),
+            'unconfirmed': list(rollout.unconfirmed),
+            'message': rollout.reason,
         }
 
 
--- a/dandelionwinch/dispatch/__init__.py
+++ b/dandelionwinch/dispatch/__init__.py
@@ -1,25 +1,25 @@
-"""Chooses the upstream of a request from one instance's view of the load."""
+"""Chooses the upstream of each request, on the load that one instance sees."""
 
 from dandelionwinch.dispatch._distance import Distances
 from dandelionwinch.dispatch._engines import EnginePlacer
 from dandelionwinch.dispatch._plain import choose_plain
-from dandelionwinch.dispatch._prompts import HANDOVER_PRIORITY
 from dandelionwinch.dispatch._prompts import Placement
+from dandelionwinch.dispatch._prompts import PREFILLED_PRIORITY
 from dandelionwinch.dispatch._prompts import PriorityClass
 from dandelionwinch.dispatch._prompts import Prompt
 from dandelionwinch.dispatch._rate_limiter import RateLimiter
 from dandelionwinch.dispatch._roles import plan_role
-from dandelionwinch.dispatch._roles import RoleOrder
+from dandelionwinch.dispatch._roles import RoleChange
 
 __all__ = [
-    'HANDOVER_PRIORITY',
+    'PREFILLED_PRIORITY',
     'Distances',
     'EnginePlacer',
     'Placement',
     'PriorityClass',
     'Prompt',
     'RateLimiter',
-    'RoleOrder',
+    'RoleChange',
     'choose_plain',
     'plan_role',
 ]
--- a/dandelionwinch/dispatch/_roles.py
+++ b/dandelionwinch/dispatch/_roles.py
@@ -1,20 +1,22 @@
 """Plans the next role change of an engine.
 
 The roles may not fit the load, as after a crash, when engines restart in
-their initial role. Each data centre needs a decode engine for each of its
-prefill engines, and half of its engines prefill if the others can carry
-the decodes.
+their initial role. Each data centre needs a decode engine, and may have one
+prefill engine more than decode engines. Half of its engines prefill if the
+other half has slots for the decodes.
 """
 
 import attrs
 
 from dandelionwinch import upstreams
 
-DECODE_SLOT_RATIO = 0.8
+# Part of the slots of decode engines that decodes may use, once one of these
+# engines prefills.
+MAX_SLOT_USE_RATIO = 0.8
 
 
 @attrs.frozen
-class RoleOrder:
+class RoleChange:
     """An engine and the role that it is to change to."""
 
     upstream_id: str
@@ -26,35 +28,36 @@
 
     Args:
         engines: Upstreams of a service that accept requests.
-        decodes: Peak number of concurrent long answers.
+        decodes: Peak number of concurrent decodes, that is of short prompts
+            in flight at all instances.
 
     Returns:
-        A RoleOrder, or None if no change is needed.
+        A RoleChange, or None if no change is needed.
     """
-    centres = {}
+    data_centres = {}
     for engine in engines:
-        centres.setdefault(engine.entry.data_centre, []).append(engine)
-    for group in sorted(centres.values(), key=len, reverse=True):
+        data_centres.setdefault(engine.entry.data_centre, []).append(engine)
+    for group in sorted(data_centres.values(), key=len, reverse=True):
         prefill = [e for e in group if _is_prefill(e)]
         decode_count = len(group) - len(prefill)
         if prefill and (not decode_count or len(prefill) > decode_count + 1):
-            return RoleOrder(_least_busy(prefill), upstreams.Role.DECODE)
+            return RoleChange(_least_busy(prefill), upstreams.Role.DECODE)
     decode = [e for e in engines if not _is_prefill(e)]
     if not _has_spare_slots(decode, decodes):
         return None
-    for group in sorted(centres.values(), key=len, reverse=True):
+    for group in sorted(data_centres.values(), key=len, reverse=True):
         prefill = [e for e in group if _is_prefill(e)]
         if len(prefill) < len(group) // 2:
             candidates = [e for e in group if not _is_prefill(e)]
-            return RoleOrder(_least_busy(candidates), upstreams.Role.PREFILL)
+            return RoleChange(_least_busy(candidates), upstreams.Role.PREFILL)
     return None
 
 
 def _has_spare_slots(engines, decodes):
-    """Tells whether the decodes fit with one engine less."""
+    """Tells whether the decodes fit if the smallest engine prefills."""
     slots = sum(e.entry.slots for e in engines)
     least = min((e.entry.slots for e in engines), default=0)
-    return decodes <= DECODE_SLOT_RATIO * (slots - least)
+    return decodes <= MAX_SLOT_USE_RATIO * (slots - least)
 
 
 def _is_prefill(engine):
