--- /dev/null
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -0,0 +1,242 @@
+"""Serves generations: prefill, decode and streaming of the events.
+
+Prefill and decode may run at different engines. A stream that breaks
+off is resumed at another engine where its route allows that.
+"""
+
+import attrs
+
+from dandelionwinch import attempts
+from dandelionwinch import dispatch
+from dandelionwinch.gateway import _connection
+from dandelionwinch.gateway import _request_handler
+from dandelionwinch.gateway import _sse
+from dandelionwinch.gateway import _upstream_exchange
+
+# Multiple of the route's latency objective.
+PREFILL_TIMEOUT_FACTOR = 3.0
+RETRIED_TIMEOUT_RATIO = 0.85
+
+
+class GenerationHandler(_request_handler.RequestHandler):
+    """Serves one generation on model engines."""
+
+    __slots__ = ()
+
+    async def _make_attempt(self):
+        """Places the request, prefills its prompt and relays the stream."""
+        now = self._loop.time()
+        prompt = self._req.prompt
+        placement = self._gateway.placer.place(
+            prompt,
+            self._fleet.registry.serving(self._service),
+            self._tried | self._unavailable,
+            now,
+            direct=bool(self._attempt_count),
+            late=self._missed_objective(),
+            objective_s=self._route.objective_s,
+        )
+        if placement is None:
+            raise self._no_upstream()
+        self._gateway.log_placement(self._req.id, placement)
+        self._gateway.placer.sent(prompt, placement, now)
+        try:
+            kv_source = ''
+            if placement.prefill is not None:
+                kv_source = await self._prefill(placement)
+                started_at, now = now, self._loop.time()
+                self.prefill_s = now - started_at
+                self._gateway.placer.prefilled(
+                    placement, now - started_at, now
+                )
+                placement = self._with_serving_decoder(placement)
+            await self._decode(placement, kv_source, now)
+        finally:
+            self._gateway.placer.ended(placement)
+
+    def _missed_objective(self):
+        """Tells whether the latency objective can no longer be met.
+
+        A caller's timeout well below that of the route shows that the
+        caller retries and has spent part of its time already.
+        """
+        route = self._route
+        if self._loop.time() - self._started_at > route.objective_s:
+            return True
+        timeout_s = self._req.timeout_s
+        return (
+            timeout_s is not None
+            and timeout_s < RETRIED_TIMEOUT_RATIO * route.timeout_s
+        )
+
+    async def _prefill(self, placement):
+        """Prefills the prompt; returns address and handle of its KV cache.
+
+        Raises:
+            AttemptFailed: If it failed; the request was not executed.
+        """
+        upstream = placement.prefill
+        params = self._params(
+            upstream, prefill_only=True, priority=placement.priority
+        )
+        pool, conn = await self._acquire(upstream)
+        try:
+            async with self._open_exchange(upstream, pool, conn) as exchange:
+                handle = await self._request_prefill(
+                    exchange, params, placement.priority_class
+                )
+        except _upstream_exchange.AttemptFailed as exc:
+            self._attempt_count += 1
+            raise _upstream_exchange.AttemptFailed(
+                attempts.AttemptOutcome.NOT_EXECUTED, f'prefill: {exc}'
+            ) from exc
+        return f'{upstream.entry.address}/{handle}'
+
+    async def _request_prefill(self, exchange, params, priority_class):
+        exchange.send(params)
+        idle_timeout_s = self._left_s()
+        if priority_class is not dispatch.PriorityClass.BACKGROUND:
+            idle_timeout_s = PREFILL_TIMEOUT_FACTOR * self._route.objective_s
+        head = await exchange.read_head(idle_timeout_s)
+        body = await exchange.read_body(idle_timeout_s)
+        reply = self._gateway.wire_codec.parse_reply(head)
+        handle = self._gateway.wire_codec.kv_handle(body)
+        if head.status != 200 or not handle:
+            outcome = attempts.AttemptOutcome.UNKNOWN
+            if reply.not_executed:
+                outcome = attempts.AttemptOutcome.NOT_EXECUTED
+            raise _upstream_exchange.AttemptFailed(
+                outcome, f'status {head.status}, no handle'
+            )
+        return handle
+
+    def _with_serving_decoder(self, placement):
+        """Replaces a decode engine that stopped serving meanwhile."""
+        now = self._loop.time()
+        if self._fleet.registry.serves(placement.decode):
+            return placement
+        other = self._gateway.placer.replace_decoder(
+            placement, self._fleet.registry.serving(self._service), now
+        )
+        if other is None:
+            raise self._no_upstream()
+        return attrs.evolve(placement, decode=other)
+
+    async def _decode(self, placement, kv_source, started_at):
+        try:
+            await self._decode_at(placement, kv_source, started_at)
+        except _upstream_exchange.AttemptFailed as exc:
+            refused = (
+                kv_source
+                and exc.outcome is attempts.AttemptOutcome.NOT_EXECUTED
+            )
+            if not refused or isinstance(
+                exc, _upstream_exchange.NoFurtherAttempt
+            ):
+                raise
+            # The KV cache handle may have expired; the decode engine can
+            # prefill the prompt itself.
+            self._attempt_outcomes.append(exc.outcome)
+            self._log_attempt(exc)
+            now = self._loop.time()
+            self._gateway.placer.handle_refused(placement, now)
+            direct = attrs.evolve(placement, prefill=None)
+            await self._decode_at(direct, '', now)
+
+    async def _decode_at(self, placement, kv_source, started_at):
+        upstream = placement.decode
+        pool, conn = await self._begin_attempt(upstream)
+        priority = placement.priority
+        if kv_source:
+            priority = dispatch.HANDOVER_PRIORITY
+            self._gateway.placer.handed_over(placement, self._loop.time())
+        params = self._params(upstream, kv_source=kv_source, priority=priority)
+        async with self._open_exchange(upstream, pool, conn) as exchange:
+            await self._relay_stream(exchange, params, placement, started_at)
+
+    async def _relay_stream(self, exchange, params, placement, started_at):
+        """Sends the request and relays the events of its response.
+
+        Only complete events are relayed, as a resumed stream continues
+        after the last of them.
+        """
+        exchange.send(params)
+        idle_timeout_s = self._idle_timeout_s()
+        head = await exchange.read_head(idle_timeout_s)
+        reply = self._gateway.wire_codec.parse_reply(head)
+        if head.status != 200 or not reply.signed or reply.not_executed:
+            await self._handle_error(
+                exchange, head, placement.decode, idle_timeout_s
+            )
+            return
+        splitter = _sse.EventSplitter()
+        last_at = None
+        while True:
+            item = await exchange.read_item(idle_timeout_s)
+            if isinstance(item, _connection.End):
+                break
+            for event in self._split(splitter, item.data):
+                now = self._loop.time()
+                if last_at is None:
+                    self._record_first_event(placement, started_at)
+                else:
+                    self.longest_gap_s = max(self.longest_gap_s, now - last_at)
+                    self._gateway.placer.token_gap(
+                        placement, now - last_at, self._route.event_gap_s, now
+                    )
+                last_at = now
+                await self._relay_event(head, event)
+        if splitter.incomplete:
+            raise _upstream_exchange.AttemptFailed(
+                attempts.AttemptOutcome.UNKNOWN, 'a torn event'
+            )
+        self._end_stream(head, placement)
+
+    def _end_stream(self, head, placement):
+        if not self._streaming:
+            self._caller.start_stream(200, head.end_to_end())
+        self._caller.end_stream()
+        placement.decode.succeeded(
+            placement.decode.excess_s, self._loop.time()
+        )
+        self.outcome = 'whole'
+        self._gateway.record_response(self, 200, '')
+
+    @staticmethod
+    def _split(splitter, data):
+        try:
+            return splitter.feed(data)
+        except ValueError as exc:
+            raise _upstream_exchange.AttemptFailed(
+                attempts.AttemptOutcome.UNKNOWN, str(exc)
+            ) from exc
+
+    async def _relay_event(self, head, event):
+        """Sends an event to the caller unless it was sent already."""
+        if event.event_id is not None:
+            last = self._last_event_id
+            if last is not None and event.event_id <= last:
+                return
+            self._last_event_id = event.event_id
+        if not self._streaming:
+            self._streaming = True
+            self._caller.start_stream(200, head.end_to_end())
+        await self._caller.send_chunk(event.data)
+
+    def _record_first_event(self, placement, started_at):
+        now = self._loop.time()
+        self.first_event_s = self.first_event_s or now - self._started_at
+        self._gateway.placer.started(placement, now - started_at, now)
+
+    async def _handle_error(self, exchange, head, upstream, idle_timeout_s):
+        """Relays an error response, unless a stream has begun already."""
+        response = _upstream_exchange.UpstreamResponse(
+            head, await exchange.read_body(idle_timeout_s)
+        )
+        exchange.check_executed(response)
+        if self._streaming:
+            raise _upstream_exchange.AttemptFailed(
+                attempts.AttemptOutcome.FAILED,
+                f'status {head.status} on resumption',
+            )
+        self._accept_response(upstream, response, self._loop.time())
--- /dev/null
+++ b/dandelionwinch/gateway/_upstream_exchange.py
@@ -0,0 +1,145 @@
+"""One request to an upstream and its response, on one connection."""
+
+import attrs
+
+from dandelionwinch import attempts
+from dandelionwinch.gateway import _codec
+from dandelionwinch.gateway import _connection
+
+MAX_RESPONSE_BODY_BYTES = 1 << 20
+MISDIRECTED_STATUS = 421
+
+
+class AttemptFailed(Exception):
+    """An attempt brought no response that may be relayed as a success.
+
+    Attributes:
+        outcome: AttemptOutcome.
+        error_response: A complete error response of the upstream, or None.
+    """
+
+    def __init__(self, outcome, reason, error_response=None):
+        super().__init__(reason)
+        self.outcome = outcome
+        self.error_response = error_response
+
+
+class NoFurtherAttempt(AttemptFailed):
+    """No time, upstream or retry is left for another attempt."""
+
+
+@attrs.frozen
+class UpstreamResponse:
+    """A complete response of an upstream."""
+
+    head: _codec.Head
+    body: bytes
+
+
+class UpstreamExchange:
+    """Sends a request and reads its response.
+
+    Responses to other requests are skipped, as an upstream may send one
+    late on a reused connection.
+    """
+
+    __slots__ = ('_conn', '_deadline', '_wire_codec', '_loop', '_req')
+
+    def __init__(self, loop, conn, wire_codec, req, deadline):
+        self._loop = loop
+        self._conn = conn
+        self._wire_codec = wire_codec
+        self._req = req
+        self._deadline = deadline
+
+    async def fetch(self, params, idle_timeout_s):
+        """Sends the request and returns its UpstreamResponse.
+
+        Raises:
+            AttemptFailed: If the response is not complete or not signed,
+                or states that the request was not executed.
+        """
+        self.send(params)
+        head = await self.read_head(idle_timeout_s)
+        response = UpstreamResponse(head, await self.read_body(idle_timeout_s))
+        self.check_executed(response)
+        return response
+
+    async def read_body(self, idle_timeout_s):
+        """Returns the complete body of the current response."""
+        body = bytearray()
+        if self._req.method == 'HEAD':
+            self._conn.forbid_reuse()
+            return b''
+        while True:
+            item = await self.read_item(idle_timeout_s)
+            if isinstance(item, _connection.End):
+                return bytes(body)
+            body += item.data
+            if len(body) > MAX_RESPONSE_BODY_BYTES:
+                raise AttemptFailed(
+                    attempts.AttemptOutcome.UNKNOWN, 'the answer is too large'
+                )
+
+    def send(self, params):
+        """Sends the request with the AttemptParams."""
+        req = self._req
+        headers = self._wire_codec.request_headers(req, params)
+        data = _codec.request_bytes(req.method, req.target, headers, req.body)
+        self._conn.send(data)
+
+    async def read_head(self, idle_timeout_s):
+        """Returns the head of the response to this request."""
+        deadline = self._loop.time() + idle_timeout_s
+        while True:
+            left_s = min(deadline - self._loop.time(), self._left_s())
+            head = await self.read_item(left_s)
+            while not isinstance(head, _codec.Head):
+                head = await self.read_item(left_s)
+            reply = self._wire_codec.parse_reply(head)
+            if reply.request_id == self._req.id:
+                return head
+            if not reply.request_id:
+                # Only a refusal to execute may lack the request id.
+                if reply.not_executed:
+                    return head
+                raise AttemptFailed(
+                    attempts.AttemptOutcome.UNKNOWN, 'an answer without an id'
+                )
+            self._conn.forbid_reuse()
+
+    async def read_item(self, timeout_s):
+        """Returns the next Head, Data or End.
+
+        Raises:
+            AttemptFailed: If the connection failed, or no item arrived
+                within `timeout_s` or the deadline.
+        """
+        try:
+            return await self._conn.next_item(min(timeout_s, self._left_s()))
+        except _connection.ConnectionLost as exc:
+            raise AttemptFailed(
+                attempts.AttemptOutcome.UNKNOWN, str(exc)
+            ) from exc
+
+    def check_executed(self, response):
+        """Checks that the upstream signed a response and executed it.
+
+        Raises:
+            AttemptFailed: If it did not.
+        """
+        reply = self._wire_codec.parse_reply(response.head)
+        status = response.head.status
+        if reply.not_executed or status == MISDIRECTED_STATUS:
+            raise AttemptFailed(
+                attempts.AttemptOutcome.NOT_EXECUTED,
+                f'status {status}, not executed',
+            )
+        if not reply.signed:
+            raise AttemptFailed(
+                attempts.AttemptOutcome.UNKNOWN,
+                f'status {status} without a signature',
+            )
+
+    def _left_s(self):
+        return self._deadline - self._loop.time()
