--- a/dandelionwinch/bench/_capacity.py
+++ b/dandelionwinch/bench/_capacity.py
@@ -17,7 +17,7 @@
 from dandelionwinch import revisions
 from dandelionwinch import settings
 
-# Design size.
+# Design size: instances, upstreams and load.
 NODES = 390
 UPSTREAMS = 1600
 MODELS = 11
