--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -81,5 +81,6 @@
     def _ignore(self, *_args):
         """Ignores the progress of a request; baselines learn nothing."""
 
-    sent = prefilled = handed_over = started = ended = _ignore
-    token_gap = handle_refused = _ignore
+    record_sent = record_prefill = record_transfer = _ignore
+    record_first_token = record_end = _ignore
+    record_token_gap = record_kv_handle_refused = _ignore
