--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -15,7 +15,7 @@
 # How long an announced engine is treated as changing its role.
 ROLE_CHANGE_S = 16.0
 # Minimum time between two orders of this instance.
-SETTLE_S = 5.0
+MIN_ORDER_INTERVAL_S = 5.0
 # Per registered instance, so that few of many try at once.
 ACQUIRE_JITTER_S = 0.35
 RETRY_S = 1.0
@@ -171,7 +171,7 @@
         role_change = self._plan_role_change(now)
         if role_change is None:
             return
-        self._next_order_at = now + SETTLE_S
+        self._next_order_at = now + MIN_ORDER_INTERVAL_S
         upstream = self._gateway.fleet.registry.get(role_change.upstream_id)
         await self._store.put(
             ROLE_CHANGE_PREFIX + role_change.upstream_id,
@@ -183,7 +183,7 @@
         await self._renew()
         if self._gateway.fleet.registry.serves(upstream):
             await self._send(upstream, role_change)
-        self._next_order_at = self._loop.time() + SETTLE_S
+        self._next_order_at = self._loop.time() + MIN_ORDER_INTERVAL_S
 
     def _plan_role_change(self, now):
         fleet = self._gateway.fleet
