--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -150,8 +150,8 @@
     def _executor(self, lease):
         executor = self._executors.get(lease)
         if executor is None:
-            settle_s = self._core.cfg.timing.gone_margin_s
-            executor = orders.OrderExecutor(lease, settle_s)
+            max_transit_s = self._core.cfg.timing.gone_margin_s
+            executor = orders.OrderExecutor(lease, max_transit_s)
             self._executors[lease] = executor
         return executor
 
--- a/dandelionwinch/orders/_executor.py
+++ b/dandelionwinch/orders/_executor.py
@@ -117,11 +117,11 @@
         settle_s: Seconds after which no copy of an order is in flight.
     """
 
-    __slots__ = ('_closed_seen_at', '_lease', '_settle_s')
+    __slots__ = ('_closed_seen_at', '_lease', '_max_transit_s')
 
-    def __init__(self, lease, settle_s):
+    def __init__(self, lease, max_transit_s):
         self._lease = lease
-        self._settle_s = settle_s
+        self._max_transit_s = max_transit_s
         self._closed_seen_at = {}
 
     def step(self, upstream, desired):
@@ -146,7 +146,7 @@
 
     def _write(self, shard, upstream, desired):
         clock = yield effects.Clock()
-        reason = self._settle_reason(shard, upstream, clock.now)
+        reason = self._transit_reason(shard, upstream, clock.now)
         if reason:
             return Progress(reason=reason)
 
@@ -168,12 +168,12 @@
             return Progress(reason='the order was not written')
         return Progress('order.written', order_id=desired.order_id)
 
-    def _settle_reason(self, shard, upstream, now):
+    def _transit_reason(self, shard, upstream, now):
         last = shard.orders.get(upstream.name)
         if upstream.checks_fencing or last is None:
             return ''
         since = self._closed_seen_at.setdefault(last.id, now)
-        if now - since >= self._settle_s:
+        if now - since >= self._max_transit_s:
             return ''
         return (
             'a copy of the last order may be under way, and the upstream '
