--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -166,7 +166,7 @@
     async def _send_next_order(self):
         """Announces and sends the next order, if one is due and allowed."""
         now = self._loop.time()
-        if now < self._next_order_at or not self._may_order():
+        if now < self._next_order_at or not self._may_send_order():
             return
         role_change = self._plan_role_change(now)
         if role_change is None:
@@ -204,7 +204,7 @@
 
     async def _send(self, upstream, role_change):
         sent = await self._sender.send(
-            upstream, role_change, self._leadership.token, self._may_order
+            upstream, role_change, self._leadership.token, self._may_send_order
         )
         self._log.event(
             'orders.sent',
@@ -215,5 +215,5 @@
             reason=sent.reason,
         )
 
-    def _may_order(self):
-        return self._leadership.may_order(self._clock())
+    def _may_send_order(self):
+        return self._leadership.may_send_order(self._clock())
--- a/dandelionwinch/control/_order_sender.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -37,7 +37,7 @@
         self._wire_codec = wire_codec
         self._name = name
 
-    async def send(self, upstream, role_change, token, may_order):
+    async def send(self, upstream, role_change, token, may_send_order):
         """Sends an order that is valid only for the engine's current state.
 
         Args:
@@ -64,7 +64,7 @@
             conn = await pool.acquire(ORDER_TIMEOUT_S)
             try:
                 # There must be no await between this check and the write.
-                if not may_order():
+                if not may_send_order():
                     return Sent(0, 'the lease is not certain')
                 conn.send(request)
                 head = await conn.next_item(ORDER_TIMEOUT_S)
--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -61,7 +61,7 @@
         """Records that another instance may hold the lease."""
         self.token = 0
 
-    def may_order(self, now):
+    def may_send_order(self, now):
         """Returns whether an order may be sent at this time."""
         if not self.held or now - self._renewed_at > RENEWAL_VALID_S:
             return False
