--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -62,7 +62,7 @@
             elif self._should_acquire(name, pool, now):
                 await self._acquire_lease(name, pool)
         held = sum(
-            1 for a in self._shard_leases.values() if a.holds(core.now())
+            1 for a in self._shard_leases.values() if a.is_held(core.now())
         )
         core.metrics.shards.set(held)
         core.metrics.frozen.set(
@@ -116,7 +116,7 @@
         core = self._core
         for pool in self._pools():
             lease = self._shard_leases.get(orders.shard_of(pool))
-            if lease is None or not lease.holds(core.now()):
+            if lease is None or not lease.is_held(core.now()):
                 continue
             upstreams = core.catalog.upstreams_of(pool.name)
             await asyncio.gather(
--- a/dandelionwinch/orders/_lease.py
+++ b/dandelionwinch/orders/_lease.py
@@ -72,7 +72,7 @@
         self._active_sends = 0
         self._releasing = False
 
-    def holds(self, now):
+    def is_held(self, now):
         """Returns whether an order may be sent at this time."""
         return self.shard is not None and now < self._deadline
 
@@ -192,7 +192,7 @@
         return ''
 
     def _store_unavailable(self, now):
-        if self.holds(now):
+        if self.is_held(now):
             return Owned(self.shard, self._deadline)
         if self.shard is not None:
             self._forget()
@@ -229,7 +229,7 @@
         """
         for _attempt in range(MAX_ATTEMPTS):
             clock = yield effects.Clock()
-            if not self.holds(clock.now):
+            if not self.is_held(clock.now):
                 return None
             reply = yield effects.Read(self._store_key)
             if not isinstance(reply, effects.Found):
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -101,7 +101,7 @@
 
     def _execute_orders(self):
         self.process.call_later(STEP_INTERVAL_S, self._execute_orders)
-        if not self.lease.holds(self.process.now()):
+        if not self.lease.is_held(self.process.now()):
             return
         for upstream in self.scenario.upstreams:
             if self._running.get(upstream.cfg.name):
@@ -141,7 +141,7 @@
 
     def _send(self, order, reply):
         sim = self.scenario.sim
-        if not self.lease.holds(self.process.now()):
+        if not self.lease.is_held(self.process.now()):
             reply(None)
             return
         if not self.lease.begin_send():
