--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from dandelionwinch.orders._drain import DrainReport
-from dandelionwinch.orders._drain import may_send
+from dandelionwinch.orders._drain import drain_wait_reason
 from dandelionwinch.orders._executor import DesiredRole
 from dandelionwinch.orders._executor import HoldState
 from dandelionwinch.orders._executor import HoldUpstream
@@ -45,7 +45,7 @@
     'ShardLease',
     'UpstreamStatus',
     'Waiting',
-    'may_send',
+    'drain_wait_reason',
     'shard_key',
     'shard_of',
 ]
--- a/dandelionwinch/orders/_drain.py
+++ b/dandelionwinch/orders/_drain.py
@@ -19,7 +19,7 @@
     ttl_s: float
 
 
-def may_send(instances, reports, upstream_jobs, now, margin_s):
+def drain_wait_reason(instances, reports, upstream_jobs, now, margin_s):
     """Decides whether a role change would interrupt a job.
 
     Every instance that may still be alive must keep its hold on the
--- a/dandelionwinch/orders/_executor.py
+++ b/dandelionwinch/orders/_executor.py
@@ -189,7 +189,7 @@
             return (yield from self._close(order, state, order.epoch))
         hold_state = yield HoldUpstream(upstream.name, order.id)
         clock = yield effects.Clock()
-        reason = _drain.may_send(
+        reason = _drain.drain_wait_reason(
             hold_state.maybe_alive,
             hold_state.reports,
             None if status is None else status.jobs,
