--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -270,7 +270,9 @@
     start = counting_store.now
     while counting_store.now < start + STORE_S:
         for lease in leases:
-            counting_store.run(lease.acquire(True, lambda *_args: False))
+            counting_store.run(
+                lease.acquire_or_renew(True, lambda *_args: False)
+            )
         counting_store.now += period_s
     return _cost_since(counting_store, started)
 
--- a/dandelionwinch/bench/_takeover.py
+++ b/dandelionwinch/bench/_takeover.py
@@ -57,7 +57,7 @@
 
     first, second = make_lease('a'), make_lease('b')
     departures = membership.Departures(_TIMING.gone_margin_s)
-    run(first.acquire(fenced, departures.is_gone))
+    run(first.acquire_or_renew(fenced, departures.is_gone))
     if released:
         run(first.release())
     died_at = 0.0
@@ -66,7 +66,7 @@
     while True:
         listed = ['b'] if now[0] > died_at + LIST_LAG_S else ['a', 'b']
         departures.list_read(listed)
-        result = run(second.acquire(fenced, departures.is_gone))
+        result = run(second.acquire_or_renew(fenced, departures.is_gone))
         if isinstance(result, orders.Owned):
             return now[0] - died_at
         now[0] += step_s
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -101,7 +101,7 @@
         upstreams = core.catalog.upstreams_of(pool.name)
         fenced = all(upstream.checks_fencing for upstream in upstreams)
         result = await core.run_program(
-            lease.acquire(fenced, core.departures.is_gone)
+            lease.acquire_or_renew(fenced, core.departures.is_gone)
         )
         match result:
             case orders.Owned(shard=shard) if not held:
--- a/dandelionwinch/orders/_lease.py
+++ b/dandelionwinch/orders/_lease.py
@@ -96,7 +96,7 @@
         """Registers the end of a send, with or without a response."""
         self._active_sends -= 1
 
-    def acquire(self, all_check_fencing, is_gone):
+    def acquire_or_renew(self, all_check_fencing, is_gone):
         """Renews the lease if it is held, else tries to acquire it.
 
         Args:
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -97,7 +97,9 @@
             process.run(self.lease.release())
         else:
             fenced = all(u.cfg.checks_fencing for u in self.scenario.upstreams)
-            process.run(self.lease.acquire(fenced, self.departures.is_gone))
+            process.run(
+                self.lease.acquire_or_renew(fenced, self.departures.is_gone)
+            )
 
     def _execute_orders(self):
         self.process.call_later(STEP_INTERVAL_S, self._execute_orders)
