--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -295,7 +295,7 @@
         if self.documents.revision == 0:
             return 'this instance has no configuration yet'
         if (
-            self.members.is_suspect(now)
+            self.members.was_paused(now)
             and len(self.members.all_instances()) > 1
         ):
             return 'this instance was paused and has met no peer since'
--- a/dandelionwinch/membership/_gossip.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -155,7 +155,7 @@
         if now - self._last_tick > self._suspect_s:
             self._paused_at = now
 
-    def is_suspect(self, now):
+    def was_paused(self, now):
         """Returns whether this instance was paused and got no digest since."""
         paused = (
             self._last_tick is not None
--- a/dandelionwinch/search/_peer.py
+++ b/dandelionwinch/search/_peer.py
@@ -46,7 +46,7 @@
         data_centres = membership.populated_data_centres(self.remaining())
         return (
             self.documents.revision > 0
-            and not self.members.is_suspect(now)
+            and not self.members.was_paused(now)
             and not self.freshness.is_cut_off(data_centres, now)
         )
 
