--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -8,7 +8,7 @@
 
 REQUEST_ID = 'x-dandelionwinch-request-id'
 TIMEOUT_MS = 'x-dandelionwinch-request-timeout-ms'
-TARGET = 'x-dandelionwinch-target-instance'
+UPSTREAM_ID = 'x-dandelionwinch-target-instance'
 NOT_EXECUTED = 'x-dandelionwinch-not-executed'
 SIGNATURE = 'x-dandelionwinch-response-signature'
 MODEL = 'x-dandelionwinch-model'
@@ -22,7 +22,7 @@
 # Removed from callers' requests: only the system may set them for an upstream.
 SYSTEM_ONLY = frozenset(
     (
-        TARGET,
+        UPSTREAM_ID,
         STAGE,
         KV_SOURCE,
         PRIORITY,
@@ -82,7 +82,7 @@
             params: AttemptParams.
         """
         pairs = list(req.headers)
-        pairs.append((TARGET, params.upstream_id))
+        pairs.append((UPSTREAM_ID, params.upstream_id))
         pairs.append((TIMEOUT_MS, str(max(1, int(params.timeout_s * 1e3)))))
         if params.last_event_id is not None:
             pairs.append((LAST_EVENT_ID, str(params.last_event_id)))
@@ -133,13 +133,13 @@
         headers = [
             ('Host', 'engine'),
             ('Content-Type', 'application/json'),
-            (TARGET, role_change.upstream_id),
+            (UPSTREAM_ID, role_change.upstream_id),
         ]
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
     def report_request(self, upstream_id):
         """Returns method, path and headers of a request for a report."""
-        headers = [('Host', 'engine'), (TARGET, upstream_id)]
+        headers = [('Host', 'engine'), (UPSTREAM_ID, upstream_id)]
         return 'GET', '/-/report', headers
 
     def accepted_order_count(self, body):
--- a/dandelionwinch/platform/samples.py
+++ b/dandelionwinch/platform/samples.py
@@ -10,7 +10,7 @@
 SETTINGS_VARIABLE = _boot.SETTINGS_VARIABLE
 CONFIG_KEY = _store_codec.CONFIG_KEY
 REQUEST_ID = _wire_codec.REQUEST_ID
-TARGET = _wire_codec.TARGET
+UPSTREAM_ID = _wire_codec.UPSTREAM_ID
 LAST_EVENT_ID = _wire_codec.LAST_EVENT_ID
 TOKEN_USAGE = _wire_codec.TOKEN_USAGE
 
--- a/dandelionwinch/soak/_upstream.py
+++ b/dandelionwinch/soak/_upstream.py
@@ -87,7 +87,7 @@
         headers = {name.lower(): value for name, value in headers.items()}
         await reader.readexactly(int(headers.get('content-length', 0)))
         request_id = headers[samples.REQUEST_ID]
-        if headers[samples.TARGET] != self.id:
+        if headers[samples.UPSTREAM_ID] != self.id:
             writer.write(samples.refusal('421 Misdirected Request'))
             return True
         self._record_if_late(request_id)
