--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -62,7 +62,9 @@
             elif self._should_acquire(name, pool, now):
                 await self._acquire_lease(name, pool)
         held = sum(
-            1 for a in self._shard_leases.values() if a.is_held(core.now())
+            1
+            for lease in self._shard_leases.values()
+            if lease.is_held(core.now())
         )
         core.metrics.shards.set(held)
         core.metrics.frozen.set(
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -4,8 +4,8 @@
 whose sender has stopped.
 """
 
-from dandelionwinch.orders._drain import DrainReport
 from dandelionwinch.orders._drain import drain_wait_reason
+from dandelionwinch.orders._drain import DrainReport
 from dandelionwinch.orders._executor import DesiredRole
 from dandelionwinch.orders._executor import HoldState
 from dandelionwinch.orders._executor import HoldUpstream
