--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -12,7 +12,7 @@
 from dandelionwinch import gateway
 from dandelionwinch import routes
 
-ANSWER_TTL_S = 2
+ADDRESS_TTL_S = 2
 # A planned stop serves at least this long, as callers may still connect.
 MIN_DRAIN_S = 4.0
 # A planned stop ends this long before SIGKILL.
@@ -80,14 +80,14 @@
             _order_sender.boot_clock,
         )
         self._servers = {}
-        self._callers = gateway.Server(
+        self._caller_server = gateway.Server(
             loop,
             self._gateway.handle,
             routes.Limits(),
             self._gateway.log_early_refusal,
         )
         if cfg.callers:
-            self._servers['callers'] = (cfg.callers, self._callers)
+            self._servers['callers'] = (cfg.callers, self._caller_server)
         self._flusher = None
         self._registered = False
         self._stopping = False
@@ -129,7 +129,7 @@
         )
 
     def _on_config(self, table):
-        self._callers.limits = table.limits
+        self._caller_server.limits = table.limits
         if not self._registered and not self._stopping:
             self._registered = True
             self._registration.start()
@@ -138,7 +138,7 @@
     @property
     def ready(self):
         """Whether callers should be sent to this instance."""
-        return self._sync.ready and not self._stopping
+        return self._sync.has_routes and not self._stopping
 
     def addresses_for(self, data_centre, region):
         """Returns the nearest instances to a caller.
@@ -157,7 +157,7 @@
         found = addresses.nearest(
             entries.values(), data_centre, region, self._rng
         )
-        return found, min(ANSWER_TTL_S, self._cfg.max_ttl_s)
+        return found, min(ADDRESS_TTL_S, self._cfg.max_ttl_s)
 
     def metrics(self):
         """Returns all metrics in the text format of Prometheus."""
@@ -176,12 +176,12 @@
         began = self._loop.time()
         self._loop.create_task(self._registration.withdraw())
         self._loop.create_task(self._order_leader.resign())
-        self._callers.drain()
+        self._caller_server.drain()
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
             await asyncio.sleep(DRAIN_POLL_S)
-            drained = self._loop.time() - began > MIN_DRAIN_S
-            if drained and not self._gateway.active:
+            min_time_passed = self._loop.time() - began > MIN_DRAIN_S
+            if min_time_passed and not self._gateway.active:
                 break
         self.log.event('instance.stopped', active=self._gateway.active)
         self.log.flush()
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -115,7 +115,7 @@
             1, len(self._sync.registered.entries)
         )
         await asyncio.sleep(RETRY_S + spread_s * self._rng.random())
-        if not self._sync.ready or self._sync.holder:
+        if not self._sync.has_routes or self._sync.holder:
             return
         if self._lease:
             lease, self._lease = self._lease, 0
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -12,7 +12,7 @@
 LEASE_S = 4.0
 RETRY_S = 1.0
 # Shorter, as the entry is already gone when its lease has lapsed.
-LAPSED_RETRY_S = 0.1
+EXPIRED_RETRY_S = 0.1
 
 
 def read_entry(value):
@@ -91,7 +91,7 @@
                 self._log.event('registration.lapsed', lease=self._lease)
                 self._lease = 0
                 self._registered = False
-                wait_s = LAPSED_RETRY_S
+                wait_s = EXPIRED_RETRY_S
             except _store.StoreFailed as exc:
                 self._log.event('registration.failed', reason=str(exc))
                 wait_s = min(RETRY_S, wait_s)
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -88,7 +88,7 @@
         return self._loop.time() - self._store_reached_at
 
     @property
-    def ready(self):
+    def has_routes(self):
         """Whether a route table was received."""
         return self._gateway.fleet.table is not None
 
--- a/dandelionwinch/platform/_deploy.py
+++ b/dandelionwinch/platform/_deploy.py
@@ -51,28 +51,28 @@
     return findings
 
 
-def _check_role(role, place):
+def _check_role(role, role_path):
     if not isinstance(role, dict):
-        yield f'field "{place}" is not a table'
+        yield f'field "{role_path}" is not a table'
         return
-    yield from _check_fields(role, ROLE_TYPES, f'{place}.')
+    yield from _check_fields(role, ROLE_TYPES, f'{role_path}.')
     for name in ('run', 'on'):
         if name not in role:
-            yield f'field "{place}.{name}" is missing'
+            yield f'field "{role_path}.{name}" is missing'
     if ('share' in role) == ('count' in role):
-        yield f'field "{place}" needs either "share" or "count"'
+        yield f'field "{role_path}" needs either "share" or "count"'
     share = role.get('share', 1)
     if isinstance(share, (int, float)) and not 0 < share <= 1:
-        yield f'field "{place}.share" is {share}, not in 0 to 1'
+        yield f'field "{role_path}.share" is {share}, not in 0 to 1'
     program = str(role.get('run', '')).split(' ')[0]
     if program in FORBIDDEN_PROGRAMS:
-        yield f'field "{place}.run" starts a helper, "{program}"'
+        yield f'field "{role_path}.run" starts a helper, "{program}"'
     for item in role.get('serves', ()):
         if item not in SERVABLE:
-            yield f'field "{place}.serves" has "{item}"'
+            yield f'field "{role_path}.serves" has "{item}"'
     port, _, page = str(role.get('metrics', '1/x')).partition('/')
     if not port.isdigit() or not page:
-        yield f'field "{place}.metrics" is not PORT/PATH'
+        yield f'field "{role_path}.metrics" is not PORT/PATH'
 
 
 def _check_fields(data, types, prefix):
--- a/dandelionwinch/platform/_store_codec.py
+++ b/dandelionwinch/platform/_store_codec.py
@@ -17,20 +17,20 @@
 }
 
 
-def _read_object(value, place):
+def _read_object(value, path):
     try:
         data = json.loads(value)
     except ValueError as exc:
-        raise control.EntryInvalid(f'"{place}" is not JSON: {exc}') from exc
+        raise control.EntryInvalid(f'"{path}" is not JSON: {exc}') from exc
     if not isinstance(data, dict):
-        raise control.EntryInvalid(f'"{place}" is not an object')
+        raise control.EntryInvalid(f'"{path}" is not an object')
     return data
 
 
-def _read_field(data, name, types, place):
+def _read_field(data, name, types, path):
     value = data.get(name)
     if isinstance(value, bool) or not isinstance(value, types):
-        raise control.EntryInvalid(f'field "{name}" of "{place}" is {value!r}')
+        raise control.EntryInvalid(f'field "{name}" of "{path}" is {value!r}')
     return value
 
 
@@ -47,42 +47,42 @@
     Raises:
         EntryInvalid: If a field is missing or of another type.
     """
-    place = UPSTREAM_PREFIX + upstream_id
-    data = _read_object(value, place)
-    address = _read_field(data, 'address', str, place)
+    path = UPSTREAM_PREFIX + upstream_id
+    data = _read_object(value, path)
+    address = _read_field(data, 'address', str, path)
     host, _, port = address.rpartition(':')
     if not host or not port.isdigit():
         raise control.EntryInvalid(
-            f'field "address" of "{place}" is {address!r}'
+            f'field "address" of "{path}" is {address!r}'
         )
-    state = _read_field(data, 'state', str, place)
+    state = _read_field(data, 'state', str, path)
     if state not in STATES:
-        raise control.EntryInvalid(f'field "state" of "{place}" is {state!r}')
+        raise control.EntryInvalid(f'field "state" of "{path}" is {state!r}')
     born = data.get('born', 0)
     if type(born) is not int:
-        raise control.EntryInvalid(f'field "born" of "{place}" is {born!r}')
+        raise control.EntryInvalid(f'field "born" of "{path}" is {born!r}')
     cold_ms = data.get('coldRemainingMs', 0)
     if isinstance(cold_ms, bool) or not isinstance(cold_ms, (int, float)):
         raise control.EntryInvalid(
-            f'field "coldRemainingMs" of "{place}" is wrong'
+            f'field "coldRemainingMs" of "{path}" is wrong'
         )
     role = upstreams.Role.PLAIN
     if 'phase' in data:
-        phase = _read_field(data, 'phase', str, place)
+        phase = _read_field(data, 'phase', str, path)
         role = _ROLES.get(phase)
         if role is None:
             raise control.EntryInvalid(
-                f'field "phase" of "{place}" is {phase!r}'
+                f'field "phase" of "{path}" is {phase!r}'
             )
     return upstreams.Entry(
         upstream_id,
-        _read_field(data, 'service', str, place),
+        _read_field(data, 'service', str, path),
         address,
-        _read_field(data, 'zone', str, place),
+        _read_field(data, 'zone', str, path),
         born,
         state == READY,
         role,
-        _read_field(data, 'slots', int, place),
+        _read_field(data, 'slots', int, path),
         cold_ms / 1e3,
     )
 
@@ -122,8 +122,8 @@
 
 
 def _read_route(item):
-    place = f'{CONFIG_KEY}.routes.{item.get("name")}'
-    kind = _read_field(item, 'kind', str, place)
+    path = f'{CONFIG_KEY}.routes.{item.get("name")}'
+    kind = _read_field(item, 'kind', str, path)
     streaming = kind == 'streaming'
     retry_policy = routes.RetryPolicy.ONCE
     if kind == 'idempotent':
@@ -131,52 +131,52 @@
     elif streaming and item.get('resumable') is True:
         retry_policy = routes.RetryPolicy.RESUMABLE
     return routes.Route(
-        _read_field(item, 'name', str, place),
-        _read_field(item, 'host', str, place),
-        _read_field(item, 'prefix', str, place),
+        _read_field(item, 'name', str, path),
+        _read_field(item, 'host', str, path),
+        _read_field(item, 'prefix', str, path),
         retry_policy,
         streaming,
-        _read_field(item, 'timeoutMs', (int, float), place) / 1e3,
-        _read_field(item, 'targetLatencyMs', (int, float), place) / 1e3,
-        _read_field(item, 'priority', int, place),
-        _read_field(item, 'maxAttempts', int, place),
-        _read_shares(item, place),
+        _read_field(item, 'timeoutMs', (int, float), path) / 1e3,
+        _read_field(item, 'targetLatencyMs', (int, float), path) / 1e3,
+        _read_field(item, 'priority', int, path),
+        _read_field(item, 'maxAttempts', int, path),
+        _read_shares(item, path),
         bool(item.get('stickySessions')),
         float(item.get('targetGapMs') or 0) / 1e3,
     )
 
 
-def _read_shares(item, place):
+def _read_shares(item, path):
     split = item.get('trafficSplit')
     if not split:
         return (
-            routes.TrafficShare(_read_field(item, 'service', str, place), 1.0),
+            routes.TrafficShare(_read_field(item, 'service', str, path), 1.0),
         )
     return tuple(
         routes.TrafficShare(
-            _read_field(share, 'service', str, place),
-            float(_read_field(share, 'weight', (int, float), place)),
+            _read_field(share, 'service', str, path),
+            float(_read_field(share, 'weight', (int, float), path)),
         )
         for share in split
     )
 
 
 def _read_service(item):
-    place = f'{CONFIG_KEY}.services.{item.get("name")}'
+    path = f'{CONFIG_KEY}.services.{item.get("name")}'
     engine = item.get('engine')
     return routes.Service(
-        _read_field(item, 'name', str, place),
-        _read_field(item, 'maxConnections', int, place),
+        _read_field(item, 'name', str, path),
+        _read_field(item, 'maxConnections', int, path),
         item.get('healthPath') or '/',
-        _read_engine(engine, place) if engine else None,
+        _read_engine(engine, path) if engine else None,
     )
 
 
-def _read_engine(item, place):
+def _read_engine(item, path):
     return routes.EngineSpec(
-        _read_field(item, 'slots', int, place),
-        _read_field(item, 'kvTokens', int, place),
-        _read_field(item, 'kvTokenBytes', (int, float), place),
+        _read_field(item, 'slots', int, path),
+        _read_field(item, 'kvTokens', int, path),
+        _read_field(item, 'kvTokenBytes', (int, float), path),
         float(item.get('handleTtlS') or 5.0),
         float(item.get('roleSwitchS') or 3.0),
     )
