--- a/dandelionwinch/leadership/__init__.py
+++ b/dandelionwinch/leadership/__init__.py
@@ -1,4 +1,8 @@
-"""The lease under which a single instance sends role orders."""
+"""The order lease, whose holder alone sends role orders to engines.
+
+Package control uses it for the gateway. The daemon has a lease per shard
+instead (package orders).
+"""
 
 from dandelionwinch.leadership._lease import Leadership
 from dandelionwinch.leadership._lease import LEASE_S
--- a/dandelionwinch/leadership/_lease.py
+++ b/dandelionwinch/leadership/_lease.py
@@ -8,10 +8,15 @@
 
 import attrs
 
+# Lease time in the store, after which an unrenewed lease expires.
 LEASE_S = 3.0
+# How long the holder may send orders after a renewal. Shorter than the lease,
+# so that a holder that can't renew stops before the lease expires.
 RENEWAL_VALID_S = 2.0
+# Leaves time for a second renewal while the last one is valid.
 RENEW_INTERVAL_S = 0.9
-# Covers the delay until the previous holder learns of the new one.
+# Time in which the previous holder learns of the new one. Until then it may
+# renew a lease whose key was deleted.
 HANDOVER_MARGIN_S = 4.0
 
 
@@ -25,7 +30,8 @@
     Attributes:
         handover_s: Minimum time between orders of two consecutive holders
             to an upstream.
-        token: Fencing token, 0 while this instance is not the holder.
+        token: Fencing token of the orders that this instance sends; 0 while
+            it is not the holder.
     """
 
     handover_s: float
@@ -35,14 +41,15 @@
 
     @property
     def held(self):
-        """Whether this instance holds the lease, as far as it can tell."""
+        """Whether this instance acquired the lease and saw no loss since."""
         return self.token > 0
 
     def acquired(self, token, sent_at):
         """Records that this instance acquired the lease.
 
         Args:
-            token: Revision of the change in the store; it only increases.
+            token: Fencing token: the store revision at which the key of the
+                lease was written, which is higher for each holder.
             sent_at: Time before the request was sent.
         """
         self.token = token
@@ -62,8 +69,14 @@
         self.token = 0
 
     def may_send_order(self, now):
-        """Returns whether an order may be sent at this time."""
+        """Returns whether this instance may send an order now.
+
+        The last renewal must be recent, and the previous holder must be
+        unable to send orders any more.
+        """
         if not self.held or now - self._renewed_at > RENEWAL_VALID_S:
             return False
+        # The previous holder renews for at most HANDOVER_MARGIN_S after this
+        # acquisition and sends for RENEWAL_VALID_S after its last renewal.
         wait_s = RENEWAL_VALID_S + self.handover_s + HANDOVER_MARGIN_S
         return now - self._acquired_at >= wait_s
