--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -1,5 +1,9 @@
 """Role orders to upstreams, under a lease per shard of upstreams.
 
+A shard has the upstreams of one data centre that serve the same model, and
+its lease and orders are one record in the store. The holder of the lease
+alone sends orders to these upstreams.
+
 Orders are stored, so that the next holder of the lease completes an order
 whose sender has stopped.
 """
--- a/dandelionwinch/orders/_drain.py
+++ b/dandelionwinch/orders/_drain.py
@@ -5,7 +5,7 @@
 
 @attrs.frozen
 class DrainReport:
-    """One instance's reply to a hold on an upstream.
+    """One instance's confirmation of a hold on an upstream.
 
     Attributes:
         jobs: Number of jobs that the instance still has on the upstream.
@@ -20,7 +20,7 @@
 
 
 def drain_wait_reason(instances, reports, upstream_jobs, now, margin_s):
-    """Decides whether a role change would interrupt a job.
+    """Returns why a role change has to wait, or an empty string.
 
     Every instance that may still be alive must keep its hold on the
     upstream for long enough, and neither the instances nor the upstream
--- a/dandelionwinch/orders/_executor.py
+++ b/dandelionwinch/orders/_executor.py
@@ -6,7 +6,7 @@
 from dandelionwinch.orders import _drain
 from dandelionwinch.orders import _shard
 
-# Each hold must outlast a send by this time.
+# Every hold must still last this long when an order is sent.
 SEND_MARGIN_S = 3.0
 
 
@@ -19,7 +19,11 @@
 
 @attrs.frozen
 class HoldUpstream:
-    """Stops new placements on all instances; the reply is a HoldState."""
+    """Puts a hold on an upstream at all instances.
+
+    While it lasts, no instance places a new job on the upstream (a cordon).
+    The reply is a HoldState.
+    """
 
     upstream: str
     order_id: str
@@ -27,7 +31,7 @@
 
 @attrs.frozen
 class ReleaseHold:
-    """Releases a hold; there is no reply."""
+    """Releases a hold at all instances; there is no reply."""
 
     upstream: str
     order_id: str
@@ -52,7 +56,7 @@
         order_id: The last order that it accepted.
         applying_order: Whether it is still executing that order.
         jobs: Number of jobs that it serves.
-        epoch: Highest fencing token that it has seen.
+        epoch: Highest fencing token that it has accepted.
     """
 
     order_id: str
@@ -114,7 +118,8 @@
 
     Args:
         lease: ShardLease of the shard.
-        settle_s: Seconds after which no copy of an order is in flight.
+        max_transit_s: Longest time in seconds that a sent order may be in
+            flight.
     """
 
     __slots__ = ('_closed_seen_at', '_lease', '_max_transit_s')
@@ -198,6 +203,8 @@
         )
         if reason:
             return Progress('order.waits', reason, order.id)
+        # The upstream reported its status, as drain_wait_reason returns a
+        # reason without one.
         accepted = yield SendOrder(order)
         if accepted is None:
             return Progress('order.unanswered', 'no answer', order.id)
--- a/dandelionwinch/orders/_lease.py
+++ b/dandelionwinch/orders/_lease.py
@@ -5,8 +5,9 @@
 from dandelionwinch import effects
 from dandelionwinch.orders import _shard
 
-# Compare-and-swap writes of one call before it gives up.
+# Compare-and-swap attempts of one call before it gives up.
 MAX_ATTEMPTS = 4
+# Renewals that the holder attempts within one lease time.
 RENEWALS_PER_LEASE = 3
 
 
@@ -73,7 +74,7 @@
         self._releasing = False
 
     def is_held(self, now):
-        """Returns whether an order may be sent at this time."""
+        """Returns whether this instance certainly holds the lease now."""
         return self.shard is not None and now < self._deadline
 
     @property
@@ -99,6 +100,8 @@
     def acquire_or_renew(self, all_check_fencing, is_gone):
         """Renews the lease if it is held, else tries to acquire it.
 
+        A release that has not completed is abandoned.
+
         Args:
             all_check_fencing: Whether every upstream of the shard rejects
                 orders of an older epoch.
@@ -113,6 +116,8 @@
             renewed = yield from self._renew()
             if renewed:
                 return Owned(self.shard, self._deadline)
+            # The write was lost, or the record has another revision: the
+            # record tells whether the lease is still held.
         for _attempt in range(MAX_ATTEMPTS):
             clock = yield effects.Clock()
             reply = yield effects.Read(self._store_key)
@@ -148,6 +153,7 @@
                 )
             if isinstance(write_reply, effects.Committed):
                 self.wait_reason = ''
+                # The record now has released=False, so orders may be sent.
                 self._releasing = False
                 return Owned(self.shard, self._deadline)
             if isinstance(write_reply, effects.Unavailable):
--- a/dandelionwinch/orders/_shard.py
+++ b/dandelionwinch/orders/_shard.py
@@ -8,7 +8,13 @@
 
 
 class OrderState(enum.StrEnum):
-    """State of an order."""
+    """State of an order.
+
+    Attributes:
+        OPEN: Written, and neither done nor rejected so far.
+        DONE: The upstream reported that it carried the order out.
+        FENCED: The upstream rejected the order by its fencing token.
+    """
 
     OPEN = 'open'
     DONE = 'done'
@@ -21,7 +27,7 @@
 
     Attributes:
         id: Identifier that the upstream reports back.
-        epoch: Fencing token of this order alone.
+        epoch: Fencing token, different for each order.
         role: Role that the upstream is to change to.
         source: Catalog revision that set the role, or 0 for a policy.
     """
@@ -81,7 +87,10 @@
 
 
 def shard_of(pool):
-    """Returns the name of a pool's shard, "data centre/service"."""
+    """Returns the name of a pool's shard, "DATA_CENTRE/MODEL".
+
+    A pool without a model has its service names instead, joined by "+".
+    """
     service = pool.model or '+'.join(sorted(pool.services))
     return f'{pool.data_centre}/{service}'
 
