--- a/dandelionwinch/membership/_departures.py
+++ b/dandelionwinch/membership/_departures.py
@@ -6,8 +6,9 @@
 
     Missing heartbeats prove nothing, as a paused process can resume. The list
     lags, so a process counts as gone only after it was absent from every
-    list read during ``margin_s`` seconds. That time also covers the longest
-    life of connections that the process left open.
+    list read during ``margin_s`` seconds. The time runs from the first
+    is_gone() that finds a name absent, and list_read() resets it. It also
+    covers the longest life of connections that the process left open.
     """
 
     __slots__ = ('_absent_since', '_incarnations', '_margin_s', '_names')
@@ -41,6 +42,8 @@
     def is_gone(self, name, incarnation, now):
         """Returns whether a process is certainly not running.
 
+        The first call for an absent name starts the time of its absence.
+
         Args:
             name: Name of the instance.
             incarnation: Incarnation of its process.
--- a/dandelionwinch/membership/_freshness.py
+++ b/dandelionwinch/membership/_freshness.py
@@ -9,10 +9,12 @@
 class Freshness:
     """Ages of the last contact with the store and with each data centre.
 
-    An age is adopted only from a peer's reply and counts from before the
-    request was sent, so it is never too low. An instance that has had
+    An age is an upper bound: it counts from before the request was sent, and
+    ages of peers are adopted only from replies. An instance that has had
     contact neither with the store nor with a majority of data centres for
-    ``cut_off_s`` seconds may have an old configuration.
+    ``cut_off_s`` seconds may have an old configuration. Contact with a
+    majority is enough, as a revision is accepted only once a majority of
+    data centres has it (see revisions.RolloutTracker).
     """
 
     __slots__ = (
@@ -42,7 +44,8 @@
         Args:
             data_centre: Data centre of the peer.
             sent_at: Time before the request was sent.
-            digest: The reply; this instance has its revision, too.
+            digest: The reply, whose configuration revision this instance has,
+                too.
         """
         self._record_contact(data_centre, sent_at)
         for item in digest.data_centres:
@@ -74,7 +77,7 @@
             digest.data_centres.add(data_centre=data_centre, age_s=age_s)
 
     def is_cut_off(self, data_centres, now):
-        """Returns whether new work must be refused.
+        """Returns whether this instance may have an old configuration.
 
         Args:
             data_centres: Names of the data centres that have instances.
--- a/dandelionwinch/membership/_gossip.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -1,4 +1,8 @@
-"""Group membership by heartbeats that spread by gossip."""
+"""Group membership by heartbeats that spread by gossip.
+
+A digest is the message that instances exchange; its pulses are the states of
+instances as the sender has them (peer.proto).
+"""
 
 import attrs
 
@@ -12,7 +16,8 @@
 DELEGATES_PER_DATA_CENTRE = 2
 # A delegate exchanges with other data centres every so many heartbeats.
 REMOTE_EXCHANGE_HEARTBEATS = 4
-# Instances of third data centres in one digest.
+# Pulses in one digest of instances that are neither in the sender's nor in the
+# receiver's data centre.
 REMOTE_PULSES = 16
 # Heartbeats from other data centres arrive later.
 REMOTE_SUSPECT_RATIO = 5.0
@@ -27,7 +32,7 @@
 
 @attrs.define
 class PeerState:
-    """The last known state of one instance.
+    """The last known state of one instance, remote or local.
 
     Attributes:
         member: Name, data centre, addresses and incarnation.
@@ -73,7 +78,7 @@
     Each instance advances its own heartbeat and exchanges digests with a few
     peers of its data centre. The delegates of a data centre also exchange
     digests with other data centres. A higher incarnation replaces a lower
-    one.
+    one. The methods that return instances include the local one.
 
     Args:
         member: Member message of the local instance.
@@ -220,7 +225,8 @@
         They poll the store for configurations and exchange digests with
         other data centres.
         """
-        # All instances must rank alike, so the salt must not change.
+        # All instances must rank alike, so the salt must not change; it is an
+        # earlier term for a delegate.
         ranking = sorted(
             (
                 peer
@@ -370,6 +376,7 @@
 
 
 def _pulse(key, peer):
+    """Encodes a PeerState: beat is heartbeat, leaves is leave_count."""
     return peer_pb2.Pulse(
         id=key,
         incarnation=peer.member.incarnation,
@@ -381,6 +388,7 @@
 
 
 def _advance(peer, pulse, now):
+    """Updates a PeerState from a pulse that is not older."""
     if pulse.incarnation < peer.member.incarnation:
         return
     if pulse.incarnation > peer.member.incarnation:
