--- a/dandelionwinch/control/_config.py
+++ b/dandelionwinch/control/_config.py
@@ -14,7 +14,7 @@
 
     Attributes:
         regions: Region of each data centre.
-        callers: Listen address for callers' requests, or ''.
+        callers: Listen address of the server for callers, or ''.
         readiness: Listen address of the readiness probe, or ''.
         directory: Listen address of the directory, which resolves the
             service name to addresses of instances, or ''.
--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -12,6 +12,7 @@
 from dandelionwinch import gateway
 from dandelionwinch import routes
 
+# How long a caller may use the addresses that the directory returned.
 ADDRESS_TTL_S = 2
 # A planned stop serves at least this long, as callers may still connect.
 MIN_DRAIN_S = 4.0
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -12,14 +12,17 @@
 CAPACITY_KEY = 'dandelionwinch/capacity'
 # Time for the other instances to read an announced role change.
 ANNOUNCE_WAIT_S = 1.2
-# How long an announced engine is treated as changing its role.
+# How long an engine is excluded after an announced role change, unless its
+# entry has the new role before.
 ROLE_CHANGE_S = 16.0
-# Minimum time between two orders of this instance.
+# Minimum time between two orders of the holder.
 MIN_ORDER_INTERVAL_S = 5.0
 # Per registered instance, so that few of many try at once.
 ACQUIRE_JITTER_S = 0.35
 RETRY_S = 1.0
-# A renewal counts only if the holder was read from the store this recently.
+# A renewal counts only if the store responded this recently, as another holder
+# is known from its responses only. Two responses are up to
+# _sync.MAX_COALESCE_S + _sync.WATCH_TIMEOUT_S apart if nothing fails.
 MAX_VIEW_AGE_S = 4.5
 
 
@@ -79,7 +82,7 @@
         self._task = self._loop.create_task(self._run())
 
     def close(self):
-        """Stops the task; the lease lapses."""
+        """Stops the task; the lease expires."""
         if self._task is not None:
             self._task.cancel()
 
@@ -118,6 +121,8 @@
         if not self._sync.has_routes or self._sync.holder:
             return
         if self._lease:
+            # The lease was lost, or the response to the write of its key was.
+            # Its key, if it still exists, is deleted with it.
             lease, self._lease = self._lease, 0
             await self._revoke(lease)
         sent_at = self._clock()
@@ -152,6 +157,7 @@
             self._leadership.renewed(sent_at)
 
     def _record_loss(self, reason):
+        """Stops sending orders; a later _acquire() revokes the lease."""
         self._log.event('orders.lost', reason=reason)
         self._leadership.lost()
 
@@ -180,6 +186,7 @@
         )
         self._gateway.begin_role_change(role_change.upstream_id, ROLE_CHANGE_S)
         await asyncio.sleep(ANNOUNCE_WAIT_S)
+        # The wait has used up most of leadership.RENEWAL_VALID_S.
         await self._renew()
         if self._gateway.fleet.registry.serves(upstream):
             await self._send(upstream, role_change)
--- a/dandelionwinch/control/_order_sender.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -28,7 +28,14 @@
 
 
 class OrderSender:
-    """Sends orders of one instance."""
+    """Sends orders of one instance.
+
+    Args:
+        fleet: Fleet of the gateway, with the pools of connections.
+        wire_codec: WireCodec that also has order_request(),
+            report_request() and accepted_order_count().
+        name: Name of the instance.
+    """
 
     __slots__ = ('_wire_codec', '_fleet', '_name')
 
@@ -44,7 +51,8 @@
             upstream: The engine.
             role_change: The RoleChange.
             token: Fencing token.
-            may_order: Function that returns whether an order may be sent.
+            may_send_order: Function that returns whether an order may be
+                sent now.
 
         Returns:
             Sent.
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -11,7 +11,7 @@
 INSTANCE_PREFIX = 'dandelionwinch/instances/'
 LEASE_S = 4.0
 RETRY_S = 1.0
-# Shorter, as the entry is already gone when its lease has lapsed.
+# Shorter, as the entry is already gone when its lease has expired.
 EXPIRED_RETRY_S = 0.1
 
 
@@ -118,6 +118,6 @@
             self._log.event('registration.not_withdrawn', reason=str(exc))
 
     def close(self):
-        """Stops the task; the lease lapses."""
+        """Stops the task; the lease expires."""
         if self._task is not None:
             self._task.cancel()
--- a/dandelionwinch/control/_store.py
+++ b/dandelionwinch/control/_store.py
@@ -1,4 +1,9 @@
-"""Interfaces of the store and of the codec of its entries."""
+"""Interfaces of the platform's store and of the codec of its entries.
+
+The daemon reaches its store by other types (effects). There, Conflict is
+GuardFailed, StoreRefused is Unavailable and any other StoreFailed of a write
+is Uncertain.
+"""
 
 import typing
 
--- a/dandelionwinch/control/_sync.py
+++ b/dandelionwinch/control/_sync.py
@@ -89,7 +89,7 @@
 
     @property
     def has_routes(self):
-        """Whether a route table was received."""
+        """Whether a valid configuration was received."""
         return self._gateway.fleet.table is not None
 
     async def _run(self):
@@ -169,7 +169,7 @@
             if upstream_id is not None and item.value is None:
                 gone.append(upstream_id)
                 continue
-            gone = [name for name in gone if name != upstream_id]
+            gone = [other for other in gone if other != upstream_id]
             self._apply(item, now)
         if gone:
             self._remove_upstreams(gone, now)
@@ -211,13 +211,15 @@
     def _apply_role_change(self, item):
         if item.value is None:
             return
-        name = item.key.removeprefix(_order_leader.ROLE_CHANGE_PREFIX)
+        upstream_id = item.key.removeprefix(_order_leader.ROLE_CHANGE_PREFIX)
         role = item.value.decode(errors='replace')
-        upstream = self._gateway.fleet.registry.get(name)
+        upstream = self._gateway.fleet.registry.get(upstream_id)
         if upstream is None or upstream.entry.role.value == role:
             return
-        self._gateway.begin_role_change(name, _order_leader.ROLE_CHANGE_S)
-        self._log.event('upstream.changing', upstream=name, role=role)
+        self._gateway.begin_role_change(
+            upstream_id, _order_leader.ROLE_CHANGE_S
+        )
+        self._log.event('upstream.changing', upstream=upstream_id, role=role)
 
     def _apply_config(self, item):
         if item.value is None:
@@ -236,21 +238,21 @@
         )
         self.on_config(table)
 
-    def _apply_upstream(self, name, item, now):
+    def _apply_upstream(self, upstream_id, item, now):
         registry = self._gateway.fleet.registry
         try:
-            entry = self._store_codec.read_upstream(name, item.value)
+            entry = self._store_codec.read_upstream(upstream_id, item.value)
         except _store.EntryInvalid as exc:
             self._log.event('upstream.invalid', finding=exc.message)
-            registry.remove(name, now)
+            registry.remove(upstream_id, now)
             return
-        upstream = registry.get(name)
+        upstream = registry.get(upstream_id)
         previous = upstream.entry if upstream else None
-        self._guard.registered(name)
+        self._guard.registered(upstream_id)
         if registry.apply(entry):
-            self._gateway.placer.forget(name)
+            self._gateway.placer.forget(upstream_id)
         if previous is not None and previous.role is not entry.role:
-            self._gateway.end_role_change(name)
+            self._gateway.end_role_change(upstream_id)
         if previous is None or (
             previous.ready,
             previous.role,
@@ -262,7 +264,7 @@
         ):
             self._log.event(
                 'upstream.changed',
-                upstream=name,
+                upstream=upstream_id,
                 service=entry.service,
                 data_centre=entry.data_centre,
                 ready=entry.ready,
@@ -277,20 +279,22 @@
             for upstream in self._gateway.fleet.registry
             if upstream.gone_at is None
         )
-        for name in self._guard.deregistered(upstream_ids, registered, now):
-            self._remove_upstream(name, now, held=False)
+        for upstream_id in self._guard.deregistered(
+            upstream_ids, registered, now
+        ):
+            self._remove_upstream(upstream_id, now, held=False)
 
     def _after_response(self, now):
         """Applies what is due after each response of the store."""
         self._gateway.set_instance_count(
             self.registered.instance_count(self._capacity, now)
         )
-        for name in self._guard.pop_due(now):
-            self._remove_upstream(name, now, held=True)
+        for upstream_id in self._guard.pop_due(now):
+            self._remove_upstream(upstream_id, now, held=True)
 
-    def _remove_upstream(self, name, now, held):
-        self._gateway.fleet.registry.remove(name, now)
-        self._log.event('upstream.gone', upstream=name, held=held)
+    def _remove_upstream(self, upstream_id, now, held):
+        self._gateway.fleet.registry.remove(upstream_id, now)
+        self._log.event('upstream.gone', upstream=upstream_id, held=held)
 
     def _apply_instance(self, item):
         if item.value is None:
