--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -8,6 +8,7 @@
 
 REQUEST_ID = 'x-dandelionwinch-request-id'
 TIMEOUT_MS = 'x-dandelionwinch-request-timeout-ms'
+# The platform calls an upstream an instance.
 UPSTREAM_ID = 'x-dandelionwinch-target-instance'
 NOT_EXECUTED = 'x-dandelionwinch-not-executed'
 SIGNATURE = 'x-dandelionwinch-response-signature'
@@ -19,8 +20,10 @@
 PRIORITY = 'x-dandelionwinch-request-priority'
 LAST_EVENT_ID = 'last-event-id'
 
-# Removed from callers' requests: only the system may set them for an upstream.
-SYSTEM_ONLY = frozenset(
+# Removed from callers' requests, as only the instance may set them for an
+# upstream. TIMEOUT_MS and LAST_EVENT_ID are read from the request and sent
+# anew with each attempt. The instance sets no header that has no constant.
+INTERNAL_HEADERS = frozenset(
     (
         UPSTREAM_ID,
         STAGE,
@@ -60,7 +63,9 @@
         if not request_id:
             raise errors.BadRequest(f'header "{REQUEST_ID}" is missing')
         headers = tuple(
-            pair for pair in head.end_to_end() if pair[0] not in SYSTEM_ONLY
+            pair
+            for pair in head.end_to_end()
+            if pair[0] not in INTERNAL_HEADERS
         )
         timeout_ms = _parse_int(head.header(TIMEOUT_MS))
         return gateway.CallerRequest(
@@ -111,14 +116,15 @@
         handle = value.get('kvHandle') if isinstance(value, dict) else None
         return handle if isinstance(handle, str) else ''
 
-    def order_request(self, role_change, holder, token, sequence):
+    def order_request(self, role_change, holder, token, accepted_count):
         """Builds the request that carries a role order to an engine.
 
         Args:
             role_change: RoleChange.
             holder: Name of the instance that holds the order lease.
             token: Fencing token.
-            sequence: Number of orders that the engine must have accepted.
+            accepted_count: Number of orders that the engine must have accepted
+                so far; sent as the precondition of the order.
 
         Returns:
             Method, path, headers and body.
@@ -128,7 +134,7 @@
             'phase': role_change.role.value,
             'holder': holder,
             'fencingToken': token,
-            'precondition': sequence,
+            'precondition': accepted_count,
         }
         headers = [
             ('Host', 'engine'),
