--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -14,9 +14,9 @@
 
 # How long a caller may use the addresses that the directory returned.
 ADDRESS_TTL_S = 2
-# A planned stop serves at least this long, as callers may still connect.
+# A graceful stop serves at least this long, as callers may still connect.
 MIN_DRAIN_S = 4.0
-# A planned stop ends this long before SIGKILL.
+# A graceful stop ends this long before SIGKILL.
 STOP_MARGIN_S = 0.4
 DRAIN_POLL_S = 0.1
 
@@ -165,7 +165,7 @@
         return self._gateway.metrics.text()
 
     def stop(self):
-        """Begins a planned stop."""
+        """Begins a graceful stop."""
         if self._stopping:
             return
         self._stopping = True
@@ -173,7 +173,7 @@
         self._loop.create_task(self._drain())
 
     async def _drain(self):
-        """Ends a planned stop when no request is left or time is up."""
+        """Ends a graceful stop when no request is left or time is up."""
         began = self._loop.time()
         self._loop.create_task(self._registration.withdraw())
         self._loop.create_task(self._order_leader.resign())
@@ -189,7 +189,7 @@
         self._stopped.set_result(None)
 
     async def wait(self):
-        """Waits until a planned stop has ended."""
+        """Waits until a graceful stop has ended."""
         await self._stopped
 
     def close(self):
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -87,7 +87,7 @@
             self._task.cancel()
 
     async def resign(self):
-        """Stops the task and revokes the lease, before a planned stop."""
+        """Stops the task and revokes the lease, before a graceful stop."""
         self.close()
         lease, self._lease = self._lease, 0
         self._leadership.lost()
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -107,7 +107,7 @@
         self._log.event('registration.made', lease=self._lease)
 
     async def withdraw(self):
-        """Removes the entry, before a planned stop."""
+        """Removes the entry, before a graceful stop."""
         if self._task is not None:
             self._task.cancel()
         if not self._lease:
--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -102,16 +102,16 @@
         self._tasks = []
 
     def _own_member(self):
-        me = self.cfg.instance
+        instance_cfg = self.cfg.instance
         return peer_pb2.Member(
-            name=me.name,
-            data_centre=me.data_centre,
-            region=me.region,
+            name=instance_cfg.name,
+            data_centre=instance_cfg.data_centre,
+            region=instance_cfg.region,
             incarnation=self.incarnation,
-            client_address=me.client_address,
-            peer_address=me.peer_address,
-            operator_address=me.operator_address,
-            weight=me.weight,
+            client_address=instance_cfg.client_address,
+            peer_address=instance_cfg.peer_address,
+            operator_address=instance_cfg.operator_address,
+            weight=instance_cfg.weight,
         )
 
     @property
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -158,10 +158,10 @@
 
     def _apply_own_state(self):
         core = self._core
-        wanted = core.catalog.get('instance', core.name)
-        if wanted is None:
+        configured = core.catalog.get('instance', core.name)
+        if configured is None:
             return
-        if wanted.state is settings.UpstreamState.ACTIVE:
+        if configured.state is settings.UpstreamState.ACTIVE:
             core.members.cancel_leave()
         else:
             core.members.leave()
--- a/dandelionwinch/orders/_executor.py
+++ b/dandelionwinch/orders/_executor.py
@@ -71,7 +71,7 @@
 
     Attributes:
         maybe_alive: Names of the instances that may still be alive.
-        reports: DrainReport by instance name.
+        reports: DrainReport by name, of the instances that confirmed it.
     """
 
     maybe_alive: tuple
@@ -174,6 +174,7 @@
         return Progress('order.written', order_id=desired.order_id)
 
     def _transit_reason(self, shard, upstream, now):
+        """Returns why a copy of the last order may be in flight, or ''."""
         last = shard.orders.get(upstream.name)
         if upstream.checks_fencing or last is None:
             return ''
--- a/dandelionwinch/orders/_lease.py
+++ b/dandelionwinch/orders/_lease.py
@@ -183,6 +183,7 @@
             self._revision_seen_at = now
 
     def _blocked_reason(self, shard, all_check_fencing, is_gone, now):
+        """Returns why another instance's lease can't be acquired, or ''."""
         if shard.released:
             return ''
         if is_gone(shard.holder, shard.incarnation, now):
@@ -206,6 +207,7 @@
         return Waiting('the store was not reached')
 
     def _forget(self):
+        """Records that this instance does not hold the lease any more."""
         self.shard = None
         self._deadline = float('-inf')
 
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -121,12 +121,12 @@
 
     def _desired_role(self, upstream):
         shard = self.lease.shard
-        wanted, source = self.scenario.desired_roles[upstream.cfg.name]
+        role, source = self.scenario.desired_roles[upstream.cfg.name]
         last = shard.orders.get(upstream.cfg.name)
         if last is not None and last.source >= source:
             return None
         order_id = f'{upstream.cfg.name}-{shard.epoch + 1}'
-        return orders.DesiredRole(wanted, source, order_id)
+        return orders.DesiredRole(role, source, order_id)
 
     def handle(self, process, request, reply):
         """Serves the effects that the executor's programs request."""
@@ -258,17 +258,17 @@
     def _check_progress(self):
         shard = orders.Shard.load(self.store.peek(orders.shard_key(SHARD)))
         for upstream in self.upstreams:
-            wanted, source = self.desired_roles[upstream.cfg.name]
+            role, source = self.desired_roles[upstream.cfg.name]
             order = shard.orders.get(upstream.cfg.name)
             if source == 0 or (
                 order is not None
                 and order.source >= source
-                and upstream.role == wanted
+                and upstream.role == role
             ):
                 continue
             raise _simulation.InvariantViolated(
                 f'{self.sim.now:.2f} s: upstream "{upstream.cfg.name}" still '
-                f'has role "{upstream.role}" instead of "{wanted}" after all '
+                f'has role "{upstream.role}" instead of "{role}" after all '
                 'faults ended'
             )
 
