--- a/dandelionwinch/control/_instance.py
+++ b/dandelionwinch/control/_instance.py
@@ -12,10 +12,11 @@
 from dandelionwinch import gateway
 from dandelionwinch import routes
 
-ANSWER_TTL_S = 2
-# A planned stop serves at least this long, as callers may still connect.
+# How long a caller may use the addresses that the directory returned.
+ADDRESS_TTL_S = 2
+# A graceful stop serves at least this long, as callers may still connect.
 MIN_DRAIN_S = 4.0
-# A planned stop ends this long before SIGKILL.
+# A graceful stop ends this long before SIGKILL.
 STOP_MARGIN_S = 0.4
 DRAIN_POLL_S = 0.1
 
@@ -80,14 +81,14 @@
             _order_sender.boot_clock,
         )
         self._servers = {}
-        self._callers = gateway.Server(
+        self._caller_server = gateway.Server(
             loop,
             self._gateway.handle,
             routes.Limits(),
             self._gateway.log_early_rejection,
         )
         if cfg.callers:
-            self._servers['callers'] = (cfg.callers, self._callers)
+            self._servers['callers'] = (cfg.callers, self._caller_server)
         self._flusher = None
         self._registered = False
         self._stopping = False
@@ -129,7 +130,7 @@
         )
 
     def _on_config(self, table):
-        self._callers.limits = table.limits
+        self._caller_server.limits = table.limits
         if not self._registered and not self._stopping:
             self._registered = True
             self._registration.start()
@@ -138,7 +139,7 @@
     @property
     def ready(self):
         """Whether callers should be sent to this instance."""
-        return self._sync.ready and not self._stopping
+        return self._sync.has_routes and not self._stopping
 
     def addresses_for(self, data_centre, region):
         """Returns the nearest instances to a caller.
@@ -157,14 +158,14 @@
         found = addresses.nearest(
             entries.values(), data_centre, region, self._rng
         )
-        return found, min(ANSWER_TTL_S, self._cfg.max_ttl_s)
+        return found, min(ADDRESS_TTL_S, self._cfg.max_ttl_s)
 
     def metrics(self):
         """Returns all metrics in the text format of Prometheus."""
         return self._gateway.metrics.text()
 
     def stop(self):
-        """Begins a planned stop."""
+        """Begins a graceful stop."""
         if self._stopping:
             return
         self._stopping = True
@@ -172,23 +173,23 @@
         self._loop.create_task(self._drain())
 
     async def _drain(self):
-        """Ends a planned stop when no request is left or time is up."""
+        """Ends a graceful stop when no request is left or time is up."""
         began = self._loop.time()
         self._loop.create_task(self._registration.withdraw())
         self._loop.create_task(self._order_leader.resign())
-        self._callers.drain()
+        self._caller_server.drain()
         limit = began + self._cfg.grace_s - STOP_MARGIN_S
         while self._loop.time() < limit:
             await asyncio.sleep(DRAIN_POLL_S)
-            drained = self._loop.time() - began > MIN_DRAIN_S
-            if drained and not self._gateway.active:
+            min_time_passed = self._loop.time() - began > MIN_DRAIN_S
+            if min_time_passed and not self._gateway.active:
                 break
         self.log.event('instance.stopped', active=self._gateway.active)
         self.log.flush()
         self._stopped.set_result(None)
 
     async def wait(self):
-        """Waits until a planned stop has ended."""
+        """Waits until a graceful stop has ended."""
         await self._stopped
 
     def close(self):
--- a/dandelionwinch/orders/__init__.py
+++ b/dandelionwinch/orders/__init__.py
@@ -1,11 +1,15 @@
 """Role orders to upstreams, under a lease per shard of upstreams.
 
+A shard has the upstreams of one data centre that serve the same model, and
+its lease and orders are one record in the store. The holder of the lease
+alone sends orders to these upstreams.
+
 Orders are stored, so that the next holder of the lease completes an order
 whose sender has stopped.
 """
 
+from dandelionwinch.orders._drain import drain_wait_reason
 from dandelionwinch.orders._drain import DrainReport
-from dandelionwinch.orders._drain import may_send
 from dandelionwinch.orders._executor import DesiredRole
 from dandelionwinch.orders._executor import HoldState
 from dandelionwinch.orders._executor import HoldUpstream
@@ -45,7 +49,7 @@
     'ShardLease',
     'UpstreamStatus',
     'Waiting',
-    'may_send',
+    'drain_wait_reason',
     'shard_key',
     'shard_of',
 ]
--- a/dandelionwinch/orders/_executor.py
+++ b/dandelionwinch/orders/_executor.py
@@ -6,7 +6,7 @@
 from dandelionwinch.orders import _drain
 from dandelionwinch.orders import _shard
 
-# Each hold must outlast a send by this time.
+# Every hold must still last this long when an order is sent.
 SEND_MARGIN_S = 3.0
 
 
@@ -19,7 +19,11 @@
 
 @attrs.frozen
 class HoldUpstream:
-    """Stops new placements on all instances; the reply is a HoldState."""
+    """Puts a hold on an upstream at all instances.
+
+    While it lasts, no instance places a new job on the upstream (a cordon).
+    The reply is a HoldState.
+    """
 
     upstream: str
     order_id: str
@@ -27,7 +31,7 @@
 
 @attrs.frozen
 class ReleaseHold:
-    """Releases a hold; there is no reply."""
+    """Releases a hold at all instances; there is no reply."""
 
     upstream: str
     order_id: str
@@ -52,7 +56,7 @@
         order_id: The last order that it accepted.
         applying_order: Whether it is still executing that order.
         jobs: Number of jobs that it serves.
-        epoch: Highest fencing token that it has seen.
+        epoch: Highest fencing token that it has accepted.
     """
 
     order_id: str
@@ -67,7 +71,7 @@
 
     Attributes:
         maybe_alive: Names of the instances that may still be alive.
-        reports: DrainReport by instance name.
+        reports: DrainReport by name, of the instances that confirmed it.
     """
 
     maybe_alive: tuple
@@ -114,14 +118,15 @@
 
     Args:
         lease: ShardLease of the shard.
-        settle_s: Seconds after which no copy of an order is in flight.
+        max_transit_s: Longest time in seconds that a sent order may be in
+            flight.
     """
 
-    __slots__ = ('_closed_seen_at', '_lease', '_settle_s')
+    __slots__ = ('_closed_seen_at', '_lease', '_max_transit_s')
 
-    def __init__(self, lease, settle_s):
+    def __init__(self, lease, max_transit_s):
         self._lease = lease
-        self._settle_s = settle_s
+        self._max_transit_s = max_transit_s
         self._closed_seen_at = {}
 
     def step(self, upstream, desired):
@@ -146,7 +151,7 @@
 
     def _write(self, shard, upstream, desired):
         clock = yield effects.Clock()
-        reason = self._settle_reason(shard, upstream, clock.now)
+        reason = self._transit_reason(shard, upstream, clock.now)
         if reason:
             return Progress(reason=reason)
 
@@ -168,12 +173,13 @@
             return Progress(reason='the order was not written')
         return Progress('order.written', order_id=desired.order_id)
 
-    def _settle_reason(self, shard, upstream, now):
+    def _transit_reason(self, shard, upstream, now):
+        """Returns why a copy of the last order may be in flight, or ''."""
         last = shard.orders.get(upstream.name)
         if upstream.checks_fencing or last is None:
             return ''
         since = self._closed_seen_at.setdefault(last.id, now)
-        if now - since >= self._settle_s:
+        if now - since >= self._max_transit_s:
             return ''
         return (
             'a copy of the last order may be under way, and the upstream '
@@ -189,7 +195,7 @@
             return (yield from self._close(order, state, order.epoch))
         hold_state = yield HoldUpstream(upstream.name, order.id)
         clock = yield effects.Clock()
-        reason = _drain.may_send(
+        reason = _drain.drain_wait_reason(
             hold_state.maybe_alive,
             hold_state.reports,
             None if status is None else status.jobs,
@@ -198,6 +204,8 @@
         )
         if reason:
             return Progress('order.waits', reason, order.id)
+        # The upstream reported its status, as drain_wait_reason returns a
+        # reason without one.
         accepted = yield SendOrder(order)
         if accepted is None:
             return Progress('order.unanswered', 'no answer', order.id)
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -97,11 +97,13 @@
             process.run(self.lease.release())
         else:
             fenced = all(u.cfg.checks_fencing for u in self.scenario.upstreams)
-            process.run(self.lease.acquire(fenced, self.departures.is_gone))
+            process.run(
+                self.lease.acquire_or_renew(fenced, self.departures.is_gone)
+            )
 
     def _execute_orders(self):
         self.process.call_later(STEP_INTERVAL_S, self._execute_orders)
-        if not self.lease.holds(self.process.now()):
+        if not self.lease.is_held(self.process.now()):
             return
         for upstream in self.scenario.upstreams:
             if self._running.get(upstream.cfg.name):
@@ -119,12 +121,12 @@
 
     def _desired_role(self, upstream):
         shard = self.lease.shard
-        wanted, source = self.scenario.desired_roles[upstream.cfg.name]
+        role, source = self.scenario.desired_roles[upstream.cfg.name]
         last = shard.orders.get(upstream.cfg.name)
         if last is not None and last.source >= source:
             return None
         order_id = f'{upstream.cfg.name}-{shard.epoch + 1}'
-        return orders.DesiredRole(wanted, source, order_id)
+        return orders.DesiredRole(role, source, order_id)
 
     def handle(self, process, request, reply):
         """Serves the effects that the executor's programs request."""
@@ -141,7 +143,7 @@
 
     def _send(self, order, reply):
         sim = self.scenario.sim
-        if not self.lease.holds(self.process.now()):
+        if not self.lease.is_held(self.process.now()):
             reply(None)
             return
         if not self.lease.begin_send():
@@ -256,17 +258,17 @@
     def _check_progress(self):
         shard = orders.Shard.load(self.store.peek(orders.shard_key(SHARD)))
         for upstream in self.upstreams:
-            wanted, source = self.desired_roles[upstream.cfg.name]
+            role, source = self.desired_roles[upstream.cfg.name]
             order = shard.orders.get(upstream.cfg.name)
             if source == 0 or (
                 order is not None
                 and order.source >= source
-                and upstream.role == wanted
+                and upstream.role == role
             ):
                 continue
             raise _simulation.InvariantViolated(
                 f'{self.sim.now:.2f} s: upstream "{upstream.cfg.name}" still '
-                f'has role "{upstream.role}" instead of "{wanted}" after all '
+                f'has role "{upstream.role}" instead of "{role}" after all '
                 'faults ended'
             )
 
