--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -329,7 +329,7 @@
         return min(found, key=lambda e: len(e.waiting) + e.decoding())
 
     def report(self, instance, number, report):
-        self._estimates[instance].report(str(number), report)
+        self._estimates[instance].record_report(str(number), report)
 
     def cached(self, instance, number, prefix, tokens):
         now = self._now
@@ -341,7 +341,7 @@
 
     def failed(self, number, now):
         for estimates in self._estimates:
-            estimates.failed(str(number), now)
+            estimates.record_failure(str(number), now)
 
     def set_held(self, number, held):
         for estimates in self._estimates:
--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force: from the store and from peers."""
+"""Keeps the configuration up to date from the store and from peers."""
 
 import json
 import pathlib
@@ -13,42 +13,44 @@
 from dandelionwinch import revisions
 from dandelionwinch import settings
 
-SPEAKER_POLL_S = 1.0
+FAST_POLL_S = 1.0
 
 logger = loguru.logger
 
 
-class SettingsTask:
-    """Adopts higher revisions only, wherever they come from.
+class SettingsSync:
+    """Fetches and changes the configuration.
 
-    The speakers of a data centre poll the store each second; the others get
-    revisions from their peers and poll slowly as a safety net.
+    Only a higher revision than the current one is adopted, from the store
+    or from a peer. The delegates of a data centre poll the store each
+    second. The others get revisions from their peers, and poll the store
+    at longer intervals in case that fails.
     """
 
     def __init__(self, core):
         self._core = core
         self._store_revision = 0
         self._polled_at = float('-inf')
-        self._changes = 0
+        self._change_count = 0
 
-    def runs(self):
-        """Returns the coroutines of this task."""
-        yield _periodic.every(SPEAKER_POLL_S, self._poll, self._core.rng)
+    def coroutines(self):
+        """Returns the coroutines of the background tasks."""
+        yield _periodic.every(FAST_POLL_S, self._poll, self._core.rng)
 
-    async def load_first(self):
-        """Takes what the store or, failing that, a listed peer has."""
+    async def load_initial(self):
+        """Loads the configuration from the store or, if down, from peers."""
         fetched = await self._poll_store()
         if isinstance(fetched, revisions.Unreached):
-            await self._ask_listed_peers()
+            await self._fetch_from_listed_peers()
 
-    async def _ask_listed_peers(self):
+    async def _fetch_from_listed_peers(self):
         core = self._core
-        listed = await core.call(core.live_list.fetch)
+        listed = await core.run_blocking(core.live_list.fetch)
         for line in listed or ():
             if line.name != core.name:
                 await self.fetch_from(line.peer_address)
 
-    async def _seed(self):
+    async def _seed_store(self):
         path = pathlib.Path(self._core.cfg.catalog_file)
         seed = readers.read_catalog(path)
 
@@ -57,38 +59,40 @@
                 return revisions.Rejected('head', documents.revision)
             return seed.docs
 
-        await self._core.run(revisions.change(edit, self._token()))
+        await self._core.run_program(
+            revisions.change(edit, self._change_token())
+        )
 
-    def _token(self):
-        self._changes += 1
+    def _change_token(self):
+        self._change_count += 1
         core = self._core
-        return f'{core.name}#{core.incarnation}#{self._changes}'
+        return f'{core.name}#{core.incarnation}#{self._change_count}'
 
     async def _poll(self):
         core = self._core
         now = core.now()
-        speaks = core.members.local in core.members.delegates(
+        polls_fast = core.members.local in core.members.delegates(
             core.data_centre, now
         )
-        if speaks or now - self._polled_at >= core.cfg.store.poll_s:
+        if polls_fast or now - self._polled_at >= core.cfg.store.poll_s:
             await self._poll_store()
 
     async def _poll_store(self):
         core = self._core
-        asked_at = core.now()
-        self._polled_at = asked_at
-        fetched = await core.run(revisions.fetch(self._store_revision))
+        requested_at = core.now()
+        self._polled_at = requested_at
+        fetched = await core.run_program(revisions.fetch(self._store_revision))
         if isinstance(fetched, revisions.Fetched):
             self._store_revision = fetched.store_revision
-            core.freshness.store_read(asked_at)
+            core.freshness.store_read(requested_at)
             if self.adopt(fetched.revision, fetched.documents, 'store'):
-                await core.beats.announce()
+                await core.heartbeats.announce()
             elif core.documents.revision == 0 and core.cfg.catalog_file:
-                await self._seed()
+                await self._seed_store()
         return fetched
 
     async def fetch_from(self, address):
-        """Fetches newer documents from a peer."""
+        """Fetches newer documents from the peer at an address."""
         core = self._core
         request = peer_pb2.DocumentsRequest(after=core.documents.revision)
         reply = await core.peers.call(address, 'Documents', request)
@@ -104,8 +108,8 @@
         ]
         self.adopt(reply.revision, documents, address)
 
-    def reply(self, request):
-        """Answers a peer that asks for newer documents."""
+    def handle(self, request):
+        """Returns the DocumentsReply to a peer's DocumentsRequest."""
         held = self._core.documents
         reply = peer_pb2.DocumentsReply(revision=held.revision)
         for document in held.changed_since(request.after):
@@ -118,10 +122,19 @@
         return reply
 
     def adopt(self, revision, documents, source):
-        """Puts a higher revision in force.
+        """Adopts a revision if it is higher than the current one.
+
+        The documents of an invalid revision are adopted, too, but the
+        previous catalog stays in force.
+
+        Args:
+            revision: The revision.
+            documents: All documents that changed since the current
+                revision.
+            source: Where they come from, for the timeline.
 
         Returns:
-            Whether it was higher than the one held.
+            Whether the revision was higher.
         """
         core = self._core
         if not core.documents.adopt(revision, documents):
@@ -129,16 +142,21 @@
         try:
             built = catalog.build(core.documents.values(), readers.structure)
         except errors.SettingsInvalid as exc:
-            logger.error('revision {} is not valid: {}', revision, exc)
+            logger.error(
+                'settings revision {} is invalid, keeping the previous '
+                'catalog: {}',
+                revision,
+                exc,
+            )
             return True
         core.catalog = built
-        core.scheduler.adopt(built)
+        core.scheduler.update_upstreams(built)
         core.metrics.revision.set(revision)
-        self._follow_own_state()
+        self._apply_own_state()
         core.event('settings.adopted', f'revision {revision}', source)
         return True
 
-    def _follow_own_state(self):
+    def _apply_own_state(self):
         core = self._core
         wanted = core.catalog.get('instance', core.name)
         if wanted is None:
@@ -149,18 +167,19 @@
             core.members.leave()
 
     async def change(self, edit):
-        """Commits a change that was checked as a whole.
+        """Validates a change against all documents and commits it.
 
         Args:
-            edit: Function from Documents to new bare documents.
+            edit: Function from Documents to a mapping of path to new
+                bare document; None removes it.
 
         Returns:
             The new revision.
 
         Raises:
             StoreUnavailable: If the store was not reached.
-            OutcomeUnknown: If it may or may not have been written.
-            SettingsInvalid: With all findings.
+            OutcomeUnknown: If the change may or may not be committed.
+            SettingsInvalid: If the result is invalid, with all findings.
         """
 
         def checked(documents):
@@ -173,7 +192,9 @@
             catalog.build(values, readers.structure)
             return edits
 
-        result = await self._core.run(revisions.change(checked, self._token()))
+        result = await self._core.run_program(
+            revisions.change(checked, self._change_token())
+        )
         match result:
             case revisions.Changed(revision=revision):
                 await self._poll_store()
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -1,4 +1,4 @@
-"""The tables that operators can query, one builder for each."""
+"""Tables that operators can query: columns and rows."""
 
 import attrs
 
@@ -26,7 +26,7 @@
 
 
 def columns_of(table):
-    """Returns the names of a table's columns."""
+    """Returns the column names of a table."""
     if table in COLUMNS:
         return COLUMNS[table]
     kind = catalog.KIND_OF_PLURAL[table]
@@ -35,7 +35,7 @@
 
 
 def document_rows(core, table):
-    """Returns the rows of a kind of document."""
+    """Returns the documents of a table's kind as rows."""
     kind = catalog.KIND_OF_PLURAL[table]
     rows = []
     for document in core.catalog.all(kind):
@@ -47,14 +47,14 @@
 
 
 def upstream_rows(core):
-    """Returns the configured upstreams with what is known of them."""
+    """Returns the configured upstreams with their newest load reports."""
     now = core.now()
     return [_upstream_row(core, r, now) for r in core.catalog.all('upstream')]
 
 
 def _upstream_row(core, upstream, now):
-    seen = core.loads.latest(upstream.name)
-    load = seen.message if seen is not None else None
+    report = core.load_reports.latest(upstream.name)
+    load = report.message if report is not None else None
     estimate = core.scheduler.estimates.get(upstream.name)
     return {
         'name': upstream.name,
@@ -67,7 +67,7 @@
         'running': load.running if load else 0,
         'waiting': load.waiting if load else 0,
         'kv_tokens': load.kv_tokens if load else 0,
-        'age_s': round(now - seen.made_at, 2) if seen else None,
+        'age_s': round(now - report.made_at, 2) if report else None,
         'checks_fencing': upstream.checks_fencing,
         'frozen': core.shards.frozen_reason(upstream.name),
         'epoch': load.epoch if load else 0,
@@ -77,11 +77,11 @@
 
 
 def _health(core, upstream, load, estimate, now):
-    if core.loads.is_held(upstream.name):
+    if core.load_reports.is_held(upstream.name):
         return 'held'
     if upstream.role is settings.Role.SERVICE:
-        resting = core.loads.is_resting(upstream.name, now)
-        return 'resting' if resting else 'ok'
+        backing_off = core.load_reports.is_unavailable(upstream.name, now)
+        return 'resting' if backing_off else 'ok'
     if load is None:
         return 'unknown'
     if load.failed:
@@ -96,30 +96,30 @@
 def instance_rows(core):
     """Returns all known instances."""
     now = core.now()
-    live = {known.name for known in core.members.live(now)}
+    live = {peer.name for peer in core.members.live(now)}
     return [
         {
-            'name': known.name,
-            'data_centre': known.data_centre,
-            'state': _instance_state(known, live),
-            'jobs': known.jobs,
-            'revision': known.revision,
-            'silent_s': round(max(0.0, now - known.heartbeat_at), 2),
-            'listed': known.listed,
-            'address': known.member.client_address,
+            'name': peer.name,
+            'data_centre': peer.data_centre,
+            'state': _instance_state(peer, live),
+            'jobs': peer.jobs,
+            'revision': peer.revision,
+            'silent_s': round(max(0.0, now - peer.heartbeat_at), 2),
+            'listed': peer.listed,
+            'address': peer.member.client_address,
         }
-        for known in core.members.all_instances()
+        for peer in core.members.all_instances()
     ]
 
 
-def _instance_state(known, live):
-    if known.name not in live:
+def _instance_state(peer, live):
+    if peer.name not in live:
         return 'silent'
-    return 'leaving' if known.leaving else 'live'
+    return 'leaving' if peer.leaving else 'live'
 
 
 def job_rows(core):
-    """Returns the jobs that this instance served of late."""
+    """Returns the running and recent jobs of this instance."""
     now = core.now()
     return [
         {
@@ -139,7 +139,7 @@
 
 
 def earning_rows(core):
-    """Returns what this process earned by team."""
+    """Returns the delivered jobs and tokens of this process by team."""
     ledger = core.earnings.ledger
     return [
         {
@@ -154,7 +154,7 @@
 
 
 def setting_rows(core):
-    """Returns all documents of the configuration."""
+    """Returns all documents of the configuration as rows."""
     return [
         {
             'path': path,
@@ -165,19 +165,19 @@
     ]
 
 
-def event_rows(lines):
+def event_rows(timeline):
     """Returns merged events and gaps as rows."""
-    return [_event_row(line) for line in lines]
+    return [_event_row(item) for item in timeline]
 
 
-def _event_row(line):
-    row = {'time': line.timestamp.physical_us / 1e6, 'instance': line.instance}
-    if hasattr(line, 'kind'):
-        row['kind'] = line.kind
-        row['subject'] = line.subject
-        row['detail'] = line.detail
+def _event_row(item):
+    row = {'time': item.timestamp.physical_us / 1e6, 'instance': item.instance}
+    if hasattr(item, 'kind'):
+        row['kind'] = item.kind
+        row['subject'] = item.subject
+        row['detail'] = item.detail
     else:
         row['kind'] = 'gap'
         row['subject'] = ''
-        row['detail'] = f'{line.missing} events are no longer held'
+        row['detail'] = f'{item.missing} events are no longer held'
     return row
--- a/dandelionwinch/dispatch/_groups.py
+++ b/dandelionwinch/dispatch/_groups.py
@@ -1,9 +1,9 @@
-"""Divides the engines of a service into those that prefill and that decode.
+"""Divides the engines of a service into groups that prefill or decode.
 
 A prompt that is prefilled between the tokens of an answer delays them, and
 a KV cache takes ten times as long to another region. So each prefill engine
-is paired with an engine in its data centre that only decodes; the remaining
-engines prefill and decode.
+is paired with a decode engine in its data centre that is reserved for
+decoding; the remaining decode engines prefill and decode.
 """
 
 import functools
@@ -13,8 +13,10 @@
 from dandelionwinch import upstreams
 from dandelionwinch import utils
 
-ORDER_KEY = 'answers'
-ORDER_CACHE_SIZE = 4096
+# Salt of the hash by which decode engines are sorted before pairing, so that
+# all instances reserve the same ones.
+SORT_SALT = 'answers'
+SORT_CACHE_SIZE = 4096
 
 
 @attrs.frozen
@@ -22,16 +24,17 @@
     """The engines of one service by what they do with long prompts.
 
     Attributes:
-        prefill: Engines that may prefill long prompts.
-        decode_only: Engines that are reserved for decoding.
-        mixed: Engines that prefill prompts and decode their answers.
-        decode_centres: Data centres with an engine that decodes.
+        prefill: Engines that may prefill long prompts: those of
+            Role.PREFILL and the mixed ones.
+        decode_only: Engines of Role.DECODE that are reserved for decoding.
+        mixed: The other engines of Role.DECODE. They also prefill.
+        decode_data_centres: Data centres with an engine that decodes.
     """
 
     prefill: tuple
     decode_only: tuple
     mixed: tuple
-    decode_centres: frozenset
+    decode_data_centres: frozenset
 
     @property
     def decode(self):
@@ -40,25 +43,25 @@
 
     def has_local_decoder(self, engine):
         """Tells whether an engine in the same data centre decodes."""
-        return engine.entry.data_centre in self.decode_centres
+        return engine.entry.data_centre in self.decode_data_centres
 
     def preferred_decoders(self, engine):
-        """Returns the engines to decode what another one has prefilled.
+        """Returns the engines preferred to decode what another one prefilled.
 
-        These are the reserved ones in its data centre, else the mixed ones
-        there, else all that decode.
+        These are the decode-only ones in its data centre, else the mixed
+        ones there, else all that decode.
         """
-        centre = engine.entry.data_centre
+        data_centre = engine.entry.data_centre
         for group in (self.decode_only, self.mixed):
-            local = [e for e in group if e.entry.data_centre == centre]
+            local = [e for e in group if e.entry.data_centre == data_centre]
             if local:
                 return local
         return list(self.decode)
 
     def local_decoders(self, engine):
         """Returns all decoding engines in the data centre of an engine."""
-        centre = engine.entry.data_centre
-        return [e for e in self.decode if e.entry.data_centre == centre]
+        data_centre = engine.entry.data_centre
+        return [e for e in self.decode if e.entry.data_centre == data_centre]
 
 
 def group_engines(usable):
@@ -76,27 +79,28 @@
         (prefill if is_prefill else decode).append(engine)
     if not decode:
         return None
-    decode.sort(key=lambda e: _order(e.entry.id))
+    decode.sort(key=lambda e: _sort_key(e.entry.id))
+    # Prefill engines that are not paired yet, by data centre.
     unpaired = {}
     for engine in prefill:
-        centre = engine.entry.data_centre
-        unpaired[centre] = unpaired.get(centre, 0) + 1
+        data_centre = engine.entry.data_centre
+        unpaired[data_centre] = unpaired.get(data_centre, 0) + 1
     decode_only, mixed = [], []
     for engine in decode:
-        centre = engine.entry.data_centre
-        if unpaired.get(centre, 0) > 0:
-            unpaired[centre] -= 1
+        data_centre = engine.entry.data_centre
+        if unpaired.get(data_centre, 0) > 0:
+            unpaired[data_centre] -= 1
             decode_only.append(engine)
         else:
             mixed.append(engine)
     prefilling = prefill + mixed or decode
-    centres = frozenset(e.entry.data_centre for e in decode)
+    data_centres = frozenset(e.entry.data_centre for e in decode)
     return EngineGroups(
-        tuple(prefilling), tuple(decode_only), tuple(mixed), centres
+        tuple(prefilling), tuple(decode_only), tuple(mixed), data_centres
     )
 
 
-@functools.lru_cache(maxsize=ORDER_CACHE_SIZE)
-def _order(upstream_id):
+@functools.lru_cache(maxsize=SORT_CACHE_SIZE)
+def _sort_key(upstream_id):
     """Returns the sort key of an engine, the same at all instances."""
-    return utils.stable_hash(ORDER_KEY, upstream_id)
+    return utils.stable_hash(SORT_SALT, upstream_id)
--- a/dandelionwinch/gateway/_fleet.py
+++ b/dandelionwinch/gateway/_fleet.py
@@ -14,8 +14,8 @@
 
     Attributes:
         registry: State of each upstream.
-        instance_count: Instances that share the connection limits, in
-            units of this instance's capacity.
+        capacity_ratio: Capacity of all instances over this instance's,
+            which divides the connection limits.
         table: The RouteTable, None before the first one is known.
         latency_baseline: Typical latency of each service.
     """
@@ -23,7 +23,7 @@
     __slots__ = (
         '_loop',
         '_pools',
-        'instance_count',
+        'capacity_ratio',
         'latency_baseline',
         'registry',
         'table',
@@ -33,14 +33,14 @@
         self._loop = loop
         self._pools = {}
         self.registry = upstreams.Registry()
-        self.instance_count = 1.0
+        self.capacity_ratio = 1.0
         self.table = None
         self.latency_baseline = upstreams.LatencyBaseline()
 
     def pool(self, upstream):
         """Returns the connection pool of one incarnation of an upstream."""
         entry = upstream.entry
-        key = (entry.id, entry.born, entry.address)
+        key = (entry.id, entry.started_at_ms, entry.address)
         pool = self._pools.get(key)
         limit = self._connection_limit(entry.service)
         if pool is None:
@@ -53,14 +53,14 @@
         service = self.table.services.get(service_name) if self.table else None
         total = service.max_connections if service else DEFAULT_MAX_CONNECTIONS
         return max(
-            2, int(total * CONNECTION_LIMIT_RATIO / self.instance_count)
+            2, int(total * CONNECTION_LIMIT_RATIO / self.capacity_ratio)
         )
 
     def sweep(self, now):
         """Closes idle connections and those to deregistered upstreams."""
         self.registry.forget(now, FORGET_UPSTREAM_AFTER_S)
         serving = {
-            (u.entry.id, u.entry.born, u.entry.address)
+            (u.entry.id, u.entry.started_at_ms, u.entry.address)
             for u in self.registry
             if u.gone_at is None
         }
