--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -68,7 +68,7 @@
         return ()
 
     def _available(self, data_centre, role):
-        """Returns usable engines of the data centre, or of all if it has none."""
+        """Returns usable engines of a data centre, of all if it has none."""
         local = [e for e in self.engines if e.data_centre == data_centre]
         found = [e for e in local if _accepts(e, role)]
         return found or [e for e in self.engines if _accepts(e, role)]
