--- a/dandelionwinch/gateway/_gateway.py
+++ b/dandelionwinch/gateway/_gateway.py
@@ -18,6 +18,13 @@
 class Gateway:
     """Serves callers' requests.
 
+    Args:
+        loop: The event loop.
+        wire_codec: The WireCodec.
+        log: Event log with `event(name, **fields)`.
+        cfg: Settings of the instance.
+        rng: Source of randomness, None for a new one.
+
     Attributes:
         active: Number of requests in progress.
         budget: The SharedRetryBudget.
--- a/dandelionwinch/gateway/_generation_handler.py
+++ b/dandelionwinch/gateway/_generation_handler.py
@@ -13,8 +13,10 @@
 from dandelionwinch.gateway import _sse
 from dandelionwinch.gateway import _upstream_exchange
 
-# Multiple of the route's latency objective.
+# Read timeout of a prefill as a multiple of the route's latency objective,
+# except for background prompts.
 PREFILL_TIMEOUT_FACTOR = 3.0
+# Part of the route's timeout; a caller with a shorter one is retrying.
 RETRIED_TIMEOUT_RATIO = 0.85
 
 
--- a/dandelionwinch/limits/_admission.py
+++ b/dandelionwinch/limits/_admission.py
@@ -7,7 +7,7 @@
 RATE_WINDOW_S = 5.0
 # Minimum share of a rate limit, as a multiple of an even share.
 MIN_EVEN_SHARE_RATIO = 0.1
-# Part of an instance's slots above which teams get slots by weight.
+# Part of an instance's slots from which on teams get slots by weight.
 BUSY_RATIO = 0.75
 
 
@@ -38,9 +38,9 @@
     A team's rate limit applies to all instances together. Each instance
     applies a share of it, in proportion to the rates of admitted jobs,
     its own and those that peers report in heartbeats; no store call is
-    made for a job. Apart from rates, a job takes one of the instance's
-    slots. While most slots are free, a team may take any number of them;
-    above BUSY_RATIO a team that holds its part by weight gets no more.
+    made for a job. Each job also takes one of the instance's slots. While
+    most slots are free, a team may hold any number of them; from BUSY_RATIO
+    on, a team that holds its share by weight gets no more.
 
     Args:
         max_jobs: Number of slots, the maximum of concurrent jobs.
