--- a/dandelionwinch/membership/_gossip.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -268,6 +268,10 @@
     def merge(self, digest, now):
         """Merges a digest of a peer.
 
+        The digest also has Members that this instance requested
+        (`introduced`) and identifiers whose Members the peer requests
+        (`asked`).
+
         Returns:
             Identifiers of unknown instances, whose Member messages are to be
             requested from the peer.
