--- a/dandelionwinch/membership/_gossip.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -268,9 +268,8 @@
     def merge(self, digest, now):
         """Merges a digest of a peer.
 
-        The digest also has Members that this instance requested
-        (`introduced`) and identifiers whose Members the peer requests
-        (`asked`).
+        Beside pulses, `introduced` has Members that the peer was asked for,
+        and `asked` has identifiers whose Members the peer requests.
 
         Returns:
             Identifiers of unknown instances, whose Member messages are to be
