--- a/dandelionwinch/membership/_gossip.py
+++ b/dandelionwinch/membership/_gossip.py
@@ -268,6 +268,9 @@
     def merge(self, digest, now):
         """Merges a digest of a peer.
 
+        Beside pulses, `introduced` has Members that the peer was asked for,
+        and `asked` has identifiers whose Members the peer requests.
+
         Returns:
             Identifiers of unknown instances, whose Member messages are to be
             requested from the peer.
