--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -40,7 +40,7 @@
     async def load_initial(self):
         """Loads the configuration from the store or, if down, from peers."""
         fetched = await self._poll_store()
-        if isinstance(fetched, revisions.Unreached):
+        if isinstance(fetched, revisions.StoreFailure):
             await self._fetch_from_listed_peers()
 
     async def _fetch_from_listed_peers(self):
@@ -199,7 +199,7 @@
             case revisions.Changed(revision=revision):
                 await self._poll_store()
                 return revision
-            case revisions.Unreached(uncertain=True):
+            case revisions.StoreFailure(uncertain=True):
                 raise errors.OutcomeUnknown(
                     'the store did not answer; the change may be in force '
                     'soon: ask "show settings" before trying again'
--- a/dandelionwinch/revisions/__init__.py
+++ b/dandelionwinch/revisions/__init__.py
@@ -7,7 +7,7 @@
 from dandelionwinch.revisions._programs import fetch
 from dandelionwinch.revisions._programs import Fetched
 from dandelionwinch.revisions._programs import Rejected
-from dandelionwinch.revisions._programs import Unreached
+from dandelionwinch.revisions._programs import StoreFailure
 from dandelionwinch.revisions._rollout import RolloutStatus
 from dandelionwinch.revisions._rollout import RolloutTracker
 
@@ -19,7 +19,7 @@
     'Rejected',
     'RolloutStatus',
     'RolloutTracker',
-    'Unreached',
+    'StoreFailure',
     'change',
     'fetch',
 ]
--- a/dandelionwinch/revisions/_programs.py
+++ b/dandelionwinch/revisions/_programs.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Unreached:
+class StoreFailure:
     """Result: the store did not answer, or every write conflicted.
 
     Attributes:
@@ -79,12 +79,12 @@
             everything.
 
     Returns:
-        Fetched or Unreached. A configuration revision of 0 means that
+        Fetched or StoreFailure. A configuration revision of 0 means that
         nothing changed, or that there is no configuration yet.
     """
     reply = yield effects.Scan(PREFIX, store_revision)
     if not isinstance(reply, effects.Scanned):
-        return Unreached()
+        return StoreFailure()
     revision = 0
     documents = []
     for record in reply.records:
@@ -109,13 +109,13 @@
         token: String that is unique to this change.
 
     Returns:
-        Changed, Rejected or Unreached.
+        Changed, Rejected or StoreFailure.
     """
     uncertain = False
     for _attempt in range(MAX_WRITE_ATTEMPTS):
         reply = yield effects.Scan(PREFIX)
         if not isinstance(reply, effects.Scanned):
-            return Unreached(uncertain)
+            return StoreFailure(uncertain)
         head = effects.Record(HEAD_KEY, None, 0)
         documents = []
         for record in reply.records:
@@ -140,8 +140,8 @@
             case effects.Uncertain():
                 uncertain = True
             case effects.Unavailable():
-                return Unreached(uncertain)
-    return Unreached(uncertain)
+                return StoreFailure(uncertain)
+    return StoreFailure(uncertain)
 
 
 # Number of newest changes whose tokens the head keeps.
