--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -288,10 +288,10 @@
         bucket = claims.bucket_of(key, cfg.buckets)
         window = int(now / cfg.batch_wait_s)
         batch = batches.setdefault((window, bucket), [])
-        token = f'entry#1#{number}'
-        batch.append(claims.Open(key, token, 'request'))
+        claim_id = f'entry#1#{number}'
+        batch.append(claims.Open(key, claim_id, 'request'))
         later = batches.setdefault((window + 5, bucket), [])
-        later.append(claims.Close(key, token, claims.State.DONE))
+        later.append(claims.Close(key, claim_id, claims.State.DONE))
     for (_window, bucket), mutations in sorted(batches.items()):
         name = claims.bucket_key(bucket)
         counting_store.run(claims.commit_batch(name, mutations, cfg))
--- a/dandelionwinch/claims/_bucket.py
+++ b/dandelionwinch/claims/_bucket.py
@@ -124,7 +124,7 @@
     body: bytes
 
 
-def close_with_answer(key, token, answer, max_bytes):
+def close_with_answer(key, claim_id, answer, max_bytes):
     """Returns the Close that records an answer.
 
     The body is stored if it is UTF-8 text within the limit; otherwise
@@ -132,7 +132,7 @@
 
     Args:
         key: Key of the claim.
-        token: Token of the claim.
+        claim_id: Identifier of the claim, its field `token`.
         answer: The StoredAnswer.
         max_bytes: Largest body in bytes that is stored.
     """
@@ -145,7 +145,7 @@
             storable = False
     return Close(
         key,
-        token,
+        claim_id,
         State.DONE,
         answer=text,
         digest=utils.digest_of(answer.body),
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -24,7 +24,7 @@
 class _Answer:
     """The answer of the backend to one call."""
 
-    token: str
+    claim_id: str
 
 
 @attrs.define
@@ -33,33 +33,35 @@
 
     Attributes:
         asks_by_key: Whether it can report the outcome of a key.
-        runs: Tokens of the executed calls, by key.
+        runs: Claim ids of the executed calls, by key.
     """
 
     asks_by_key: bool
     runs: dict = attrs.field(factory=dict)
 
-    def run(self, key, token, now):
+    def run(self, key, claim_id, now):
         """Executes a call.
 
         Raises:
             InvariantViolated: If a call with the same key was executed.
         """
         before = self.runs.setdefault(key, [])
-        before.append(token)
+        before.append(claim_id)
         if len(before) > 1:
             raise _simulation.InvariantViolated(
                 f'{now:.2f} s: key "{key}" ran twice: {before}'
             )
-        return _Answer(token)
+        return _Answer(claim_id)
 
     def outcome(self, key):
         """Returns the outcome of the calls with a key."""
         if not self.asks_by_key:
             return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
-        tokens = self.runs.get(key)
-        if tokens:
-            return claims.Outcome(claims.OutcomeStatus.RAN, _Answer(tokens[0]))
+        claim_ids = self.runs.get(key)
+        if claim_ids:
+            return claims.Outcome(
+                claims.OutcomeStatus.RAN, _Answer(claim_ids[0])
+            )
         return claims.Outcome(claims.OutcomeStatus.NEVER_SEEN)
 
 
@@ -80,15 +82,15 @@
         self.process.call_later(1.0, self._retry_closes)
 
     def serve(self, key, on_result):
-        """Serves a client's call; passes its token and result on."""
+        """Serves a client's call; passes its claim id and result on."""
         self._sequence += 1
-        token = f'{self.process.name}#1#{self._sequence}'
-        call = claims.Open(key, token, 'request')
+        claim_id = f'{self.process.name}#1#{self._sequence}'
+        call = claims.Open(key, claim_id, 'request')
         program = claims.run_at_most_once(call, False, 2.0, self._record(call))
         self._calls[program] = call
 
         def done(result):
-            on_result(token, result)
+            on_result(claim_id, result)
 
         self.process.run(_TaggedProgram(program, call), done)
 
@@ -99,7 +101,7 @@
                 call.key,
                 call.token,
                 claims.State.DONE,
-                answer=answer.token,
+                answer=answer.claim_id,
                 kept=True,
             )
 
@@ -184,7 +186,7 @@
             )
             if state is None or state is claim.state:
                 return
-            answer = outcome.answer.token if outcome.answer else ''
+            answer = outcome.answer.claim_id if outcome.answer else ''
             self._close(
                 claims.Close(claim.key, claim.token, state, answer=answer)
             )
@@ -250,16 +252,16 @@
         sim.call_later(1 + 20 * sim.rng.random(), self._send_requests, key)
 
     def _on_result(self, key):
-        def record(token, result):
+        def record(claim_id, result):
             match result:
                 case claims.Done():
                     self._reported_done.add(key)
                 case claims.NotRun():
-                    self._not_run[token] = key
+                    self._not_run[claim_id] = key
                 case claims.NotGranted(
                     result=claims.Unreached() | claims.Unsettled()
                 ):
-                    self._not_run[token] = key
+                    self._not_run[claim_id] = key
                 case claims.NotGranted(result=claims.Held(claim=claim)):
                     if claim.state is claims.State.DONE:
                         self._reported_done.add(key)
@@ -326,11 +328,13 @@
                 raise _simulation.InvariantViolated(
                     f'key "{key}" was reported as done but never ran'
                 )
-        ran = {token for tokens in runs.values() for token in tokens}
-        for token, key in self._not_run.items():
-            if token in ran:
+        ran = {
+            claim_id for claim_ids in runs.values() for claim_id in claim_ids
+        }
+        for claim_id, key in self._not_run.items():
+            if claim_id in ran:
                 raise _simulation.InvariantViolated(
-                    f'call "{token}" of key "{key}" ran although it was '
+                    f'call "{claim_id}" of key "{key}" ran although it was '
                     'reported as not run'
                 )
         if not self.backend.asks_by_key:
--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -182,9 +182,9 @@
         self._upstreams = list(placement.upstreams)
         self._upstream = None
         key = f'{placement.service.name}/{call.key}'
-        token = f'{core.name}#{core.incarnation}#{call.request_id}'
+        claim_id = f'{core.name}#{core.incarnation}#{call.request_id}'
         content = f'{call.method} {call.path}\n'.encode() + call.body
-        self._opening = claims.Open(key, token, utils.digest_of(content))
+        self._opening = claims.Open(key, claim_id, utils.digest_of(content))
 
     def run(self):
         """Runs the call, or returns the recorded answer of its key.
