--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -1,16 +1,16 @@
 """At-most-once execution of calls that are not idempotent."""
 
-from dandelionwinch.claims._at_most_once import CloseClaim
 from dandelionwinch.claims._at_most_once import Done
 from dandelionwinch.claims._at_most_once import NotGranted
 from dandelionwinch.claims._at_most_once import NotRun
-from dandelionwinch.claims._at_most_once import OpenClaim
 from dandelionwinch.claims._at_most_once import Outcome
 from dandelionwinch.claims._at_most_once import QueryOutcome
 from dandelionwinch.claims._at_most_once import run_at_most_once
 from dandelionwinch.claims._at_most_once import SendCall
 from dandelionwinch.claims._at_most_once import SendResult
 from dandelionwinch.claims._at_most_once import Unknown
+from dandelionwinch.claims._at_most_once import WriteClose
+from dandelionwinch.claims._at_most_once import WriteOpen
 from dandelionwinch.claims._bucket import Bucket
 from dandelionwinch.claims._bucket import Claim
 from dandelionwinch.claims._bucket import Close
@@ -37,7 +37,6 @@
     'Bucket',
     'Claim',
     'Close',
-    'CloseClaim',
     'Done',
     'Expired',
     'Full',
@@ -46,7 +45,6 @@
     'NotGranted',
     'NotRun',
     'Open',
-    'OpenClaim',
     'Outcome',
     'OutcomeStatus',
     'QueryOutcome',
@@ -58,6 +56,8 @@
     'Unknown',
     'Unreached',
     'Unsettled',
+    'WriteClose',
+    'WriteOpen',
     'bucket_key',
     'bucket_of',
     'close_with_answer',
--- a/dandelionwinch/claims/_at_most_once.py
+++ b/dandelionwinch/claims/_at_most_once.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class OpenClaim:
+class WriteOpen:
     """Request: writes the Open; the reply is its result."""
 
     mutation: _bucket.Open
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class CloseClaim:
+class WriteClose:
     """Request: writes the Close; the reply is not used."""
 
     mutation: _bucket.Close
@@ -114,7 +114,7 @@
         Done, NotRun, Unknown or NotGranted.
     """
     started = yield effects.Clock()
-    result = yield OpenClaim(opening)
+    result = yield WriteOpen(opening)
     claimed = isinstance(result, _bucket.Granted)
     if not claimed:
         store_failed = not isinstance(
@@ -132,7 +132,7 @@
             return (yield from _conclude(opening, claimed, sent, record))
         has_alternatives = sent.has_alternatives
     if claimed:
-        yield CloseClaim(_close_of(opening, _bucket.State.NOT_RUN))
+        yield WriteClose(_close_of(opening, _bucket.State.NOT_RUN))
     return NotRun('no back end was reached in time')
 
 
@@ -143,10 +143,10 @@
         answer = outcome.answer
     if answer is not None:
         if claimed:
-            yield CloseClaim(record(answer))
+            yield WriteClose(record(answer))
         return Done(answer)
     if claimed:
-        yield CloseClaim(_close_of(opening, _bucket.State.UNKNOWN))
+        yield WriteClose(_close_of(opening, _bucket.State.UNKNOWN))
     return Unknown()
 
 
--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -115,9 +115,9 @@
         """Serves the effects that the programs request."""
         request, call = request
         match request:
-            case claims.OpenClaim(mutation=mutation):
+            case claims.WriteOpen(mutation=mutation):
                 self._open(mutation, reply)
-            case claims.CloseClaim(mutation=mutation):
+            case claims.WriteClose(mutation=mutation):
                 self._close(mutation)
                 reply(None)
             case claims.SendCall():
--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -221,13 +221,13 @@
 
     def _execute(self, request):
         match request:
-            case claims.OpenClaim(mutation=mutation):
+            case claims.WriteOpen(mutation=mutation):
                 return self._core.request(messages.OpenClaim(mutation))
             case claims.SendCall():
                 return self._send()
             case claims.QueryOutcome():
                 return self._query_outcome()
-            case claims.CloseClaim(mutation=mutation):
+            case claims.WriteClose(mutation=mutation):
                 return self._core.request(messages.CloseClaim(mutation))
         raise TypeError(f'"{request!r}" is not a request of run_at_most_once')
 
