--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -191,7 +191,7 @@
             job_id=f'{self._job_id}-{self._target.generation}',
             path=self.job.path,
             body=body,
-            resume_after=self._assembly.resume_after(),
+            resume_after=self._assembly.last_offset(),
             chunk_timeout_s=chunk_timeout_s,
             first_chunk_timeout_s=min(
                 placement.first_token_s + FIRST_TOKEN_MARGIN_S, self._left_s()
@@ -204,7 +204,7 @@
     def _partial_text(self):
         # The upstream of a resumed generation has the prompt already;
         # only a new generation needs the text so far.
-        if self._assembly.resume_after() >= 0:
+        if self._assembly.last_offset() >= 0:
             return ''
         return self._assembly.text
 
@@ -271,7 +271,7 @@
 
     def _handle_broken_stream(self, reason):
         """Resumes once on a new connection, then fails over."""
-        may_resume = self._assembly.resume_after() >= 0
+        may_resume = self._assembly.last_offset() >= 0
         if may_resume and self._resumes == 0:
             self._resumes += 1
             self._spend_retry(reason)
--- a/dandelionwinch/jobs/_assembly.py
+++ b/dandelionwinch/jobs/_assembly.py
@@ -62,7 +62,7 @@
         self._generation_start = self.next_offset
         return self.attempt
 
-    def resume_after(self):
+    def last_offset(self):
         """Returns the last offset received of the generation, or -1."""
         return self.next_offset - self._generation_start - 1
 
