--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -1,4 +1,15 @@
-"""At-most-once execution of calls that are not idempotent."""
+"""At-most-once execution of calls that are not idempotent.
+
+A claim is the stored record of one idempotency key; whoever writes it
+first may send the call. Claims are grouped into buckets; a bucket is
+one value in the store and is changed by compare-and-swap.
+
+Opens and Closes are the mutations of a bucket; Granted, Held, Expired,
+Full, Recorded, Unreached and Unsettled are their results. Done, NotRun,
+Unknown and NotGranted are the results of a whole call by
+run_at_most_once. State is the state of a claim, and OutcomeStatus is
+what an upstream reports about a key.
+"""
 
 from dandelionwinch.claims._at_most_once import Done
 from dandelionwinch.claims._at_most_once import NotGranted
--- a/dandelionwinch/claims/_at_most_once.py
+++ b/dandelionwinch/claims/_at_most_once.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class SendCall:
-    """Request: sends the call to the next upstream.
+    """Request: sends the call to the next upstream of the service.
 
     The reply is a SendResult.
     """
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class QueryOutcome:
-    """Request: queries the upstream for the outcome of the key.
+    """Request: queries the upstream of the last SendCall for the outcome.
 
     The reply is an Outcome.
     """
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Outcome:
-    """Reply: the outcome of a key as the upstream reports it.
+    """Reply: the outcome of the key as the upstream reports it.
 
     Attributes:
         status: The OutcomeStatus.
@@ -67,26 +67,26 @@
 
 @attrs.frozen
 class Done:
-    """Result: the call ran, with this answer."""
+    """Result of run_at_most_once: the call ran, with this answer."""
 
     answer: object
 
 
 @attrs.frozen
 class NotRun:
-    """Result: the call did not run."""
+    """Result of run_at_most_once: the call certainly did not run."""
 
     reason: str
 
 
 @attrs.frozen
 class Unknown:
-    """Result: the call was sent and may have run."""
+    """Result of run_at_most_once: the call was sent and may have run."""
 
 
 @attrs.frozen
 class NotGranted:
-    """Result: the claim was not granted, so the call was not sent.
+    """Result of run_at_most_once: no claim, so the call was not sent.
 
     Attributes:
         result: The result of the Open: Held, Expired, Full, Unreached
@@ -96,27 +96,28 @@
     result: object
 
 
-def run_at_most_once(opening, dedupes_by_key, window_s, record):
+def run_at_most_once(open_mutation, dedupes_by_key, window_s, close_for):
     """Claims a key, sends the call and records the outcome.
 
     The claim is in the store before the first byte is sent, and sending
     is allowed only for a limited time after the claim was requested.
 
     Args:
-        opening: The Open of the claim.
+        open_mutation: The Open of the claim.
         dedupes_by_key: Whether the upstream deduplicates calls by key;
             such a call is sent even if the store is unavailable.
         window_s: Seconds after the request for the claim in which the
             call may be sent.
-        record: Function from an answer to the Close that records it.
+        close_for: Function from an answer to the Close that records it.
 
     Returns:
         Done, NotRun, Unknown or NotGranted.
     """
     started = yield effects.Clock()
-    result = yield WriteOpen(opening)
+    result = yield WriteOpen(open_mutation)
     claimed = isinstance(result, _bucket.Granted)
     if not claimed:
+        # The other results are Unreached and Unsettled.
         store_failed = not isinstance(
             result, _bucket.Held | _bucket.Expired | _bucket.Full
         )
@@ -129,26 +130,28 @@
             break
         sent = yield SendCall()
         if sent.may_have_arrived:
-            return (yield from _conclude(opening, claimed, sent, record))
+            return (
+                yield from _conclude(open_mutation, claimed, sent, close_for)
+            )
         has_alternatives = sent.has_alternatives
     if claimed:
-        yield WriteClose(_close_of(opening, _bucket.State.NOT_RUN))
+        yield WriteClose(_close_as(open_mutation, _bucket.State.NOT_RUN))
     return NotRun('no back end was reached in time')
 
 
-def _conclude(opening, claimed, sent, record):
+def _conclude(open_mutation, claimed, sent, close_for):
     answer = sent.answer
     if answer is None:
         outcome = yield QueryOutcome()
         answer = outcome.answer
     if answer is not None:
         if claimed:
-            yield WriteClose(record(answer))
+            yield WriteClose(close_for(answer))
         return Done(answer)
     if claimed:
-        yield WriteClose(_close_of(opening, _bucket.State.UNKNOWN))
+        yield WriteClose(_close_as(open_mutation, _bucket.State.UNKNOWN))
     return Unknown()
 
 
-def _close_of(opening, state):
-    return _bucket.Close(opening.key, opening.token, state)
+def _close_as(open_mutation, state):
+    return _bucket.Close(open_mutation.key, open_mutation.token, state)
--- a/dandelionwinch/claims/_bucket.py
+++ b/dandelionwinch/claims/_bucket.py
@@ -35,17 +35,20 @@
     """The stored record of one idempotency key.
 
     Attributes:
-        key: The idempotency key, prefixed with the service's name.
-        token: Identifies the request that may send the call: instance,
-            incarnation and request id.
-        request: Digest of the request, to detect a reused key.
+        key: The idempotency key, prefixed with the service's name and a
+            slash.
+        token: Identifier of the claim and so of the request that may send
+            the call: instance, incarnation and request id, joined by
+            ``#``. It is not a credential.
+        request: Digest of the request, to detect a key that is reused for
+            another request; empty if the claim was created by a Close.
         opened: Wall time in seconds.
         changed: Wall time in seconds of the last change of state.
         answer: The answer's body, or empty if it was not stored.
         digest: Digest of the answer's body.
         status: HTTP status of the answer.
         content_type: Content type of the answer.
-        kept: Whether ``answer`` holds the body.
+        kept: Whether the body is stored in ``answer``.
     """
 
     key: str
@@ -63,7 +66,13 @@
 
 @attrs.frozen
 class Open:
-    """Mutation: claims a key for one call."""
+    """Mutation: claims a key for one call.
+
+    Attributes:
+        key: Key of the claim.
+        token: Identifier of the claim.
+        request: Digest of the request.
+    """
 
     key: str
     token: str
@@ -72,7 +81,11 @@
 
 @attrs.frozen
 class Close:
-    """Mutation: records the outcome of a call."""
+    """Mutation: records the outcome of a call.
+
+    The attributes are those of the Claim, which they replace if its token
+    is the same.
+    """
 
     key: str
     token: str
@@ -86,7 +99,11 @@
 
 @attrs.frozen
 class Granted:
-    """Result: the holder of this token may send the call once."""
+    """Result: the request that opened the claim may send the call once.
+
+    Attributes:
+        token: Identifier of the claim.
+    """
 
     token: str
 
@@ -100,7 +117,12 @@
 
 @attrs.frozen
 class Recorded:
-    """Result: the claim has this outcome."""
+    """Result: the Close needs no further write.
+
+    Attributes:
+        state: State of the claim, or that of the Close if the bucket has
+            no claim of its token.
+    """
 
     state: State
 
@@ -132,17 +154,17 @@
 
     Args:
         key: Key of the claim.
-        claim_id: Identifier of the claim, its field `token`.
+        claim_id: Identifier of the claim, its field ``token``.
         answer: The StoredAnswer.
         max_bytes: Largest body in bytes that is stored.
     """
     text = ''
-    storable = len(answer.body) <= max_bytes
-    if storable:
+    stored = len(answer.body) <= max_bytes
+    if stored:
         try:
             text = answer.body.decode('utf-8')
         except UnicodeDecodeError:
-            storable = False
+            stored = False
     return Close(
         key,
         claim_id,
@@ -151,12 +173,17 @@
         digest=utils.digest_of(answer.body),
         status=answer.status,
         content_type=answer.content_type,
-        kept=storable,
+        kept=stored,
     )
 
 
 class Bucket:
-    """The claims that share one value in the store."""
+    """The claims that share one value in the store.
+
+    Args:
+        cfg: The ClaimSettings.
+        claims: Claims to begin with.
+    """
 
     __slots__ = ('_cfg', '_claims')
 
@@ -204,12 +231,15 @@
     def _open(self, mutation, wall):
         existing = self._claims.get(mutation.key)
         if existing is not None and existing.token == mutation.token:
+            # The same Open was applied before, by a write whose reply was
+            # lost.
             if existing.state is State.OPEN:
                 return Granted(mutation.token)
             return Held(existing)
         may_reopen = (
             existing is not None
             and existing.state is State.NOT_RUN
+            # Empty if a Close created the claim, see _close.
             and existing.request in ('', mutation.request)
         )
         if existing is not None and not may_reopen:
@@ -234,6 +264,7 @@
 
     def _has_room(self):
         used = sum(len(claim.answer) for claim in self._claims.values())
+        # Leaves room for the new claim with the largest stored answer.
         limit = self._cfg.max_bucket_bytes
         limit -= self._cfg.max_kept_answer_bytes + _CLAIM_OVERHEAD_BYTES
         return used + len(self._claims) * _CLAIM_OVERHEAD_BYTES <= limit
@@ -241,10 +272,14 @@
     def _close(self, mutation, wall):
         claim = self._claims.get(mutation.key)
         if claim is None and mutation.state is State.NOT_RUN:
-            # Storing the claim also changes the bucket's store revision,
-            # so the guard of a delayed write of the Open fails.
+            # The Open was not written, or its write is still delayed.
+            # Storing a claim without a request digest changes the bucket's
+            # store revision, so the guard of a delayed write fails.
             claim = Claim(mutation.key, mutation.token, '', wall)
         if claim is None or claim.token != mutation.token:
+            # The claim was dropped, or the key was claimed by another
+            # request: nothing is left to record. Any other result than
+            # Recorded would make the writer retry.
             return Recorded(mutation.state)
         if claim.state in (State.DONE, State.NOT_RUN):
             return Recorded(claim.state)
--- a/dandelionwinch/claims/_commit.py
+++ b/dandelionwinch/claims/_commit.py
@@ -11,21 +11,32 @@
 
 @attrs.frozen
 class Unreached:
-    """Result: the store was not reached and nothing was written."""
+    """Result: nothing was written, as no write reached the store or held.
+
+    Nothing is written later either.
+    """
 
 
 @attrs.frozen
 class Unsettled:
-    """Result: the mutation may have been written or may still be."""
+    """Result: the mutation may have been written or may still be.
+
+    The reply to a write was lost (effects.Uncertain).
+    """
 
 
 def bucket_of(key, buckets):
-    """Returns the number of the bucket that holds a key."""
+    """Returns the number of the bucket that holds a claim.
+
+    Args:
+        key: Key of the claim: service name, slash, idempotency key.
+        buckets: Number of buckets.
+    """
     return utils.stable_hash('claim', key) % buckets
 
 
 def bucket_key(number):
-    """Returns the store key of a bucket."""
+    """Returns the store key of a bucket by its number."""
     return f'claims/{number:04d}'
 
 
@@ -34,7 +45,7 @@
 
     Safety rests on compare-and-swap alone. After a conflict or a lost
     reply the bucket is read again and the mutations are applied again,
-    which is harmless because they are idempotent by token.
+    which is harmless because they are idempotent by claim id.
 
     Args:
         store_key: Store key of the bucket.
@@ -64,6 +75,9 @@
             case effects.Committed():
                 return results
             case effects.Uncertain():
+                # The write may still take effect. A later attempt settles
+                # it: its read shows the write, or its own write changes
+                # the store revision, so that the guard of this one fails.
                 uncertain = True
             case effects.Unavailable():
                 break
--- a/dandelionwinch/claims/_keys.py
+++ b/dandelionwinch/claims/_keys.py
@@ -10,12 +10,15 @@
 
 
 def key_time(key):
-    """Returns the time at which a key was created.
+    """Returns the time at which an idempotency key was created.
 
     Keys that are UUIDs of version 7 (RFC 9562) carry it, so a key older
     than the retention of claims is recognized even after its claim was
     dropped.
 
+    Args:
+        key: Idempotency key without the service's name.
+
     Returns:
         Seconds since the epoch, or None for any other key.
     """
--- a/dandelionwinch/claims/_resolution.py
+++ b/dandelionwinch/claims/_resolution.py
@@ -22,8 +22,8 @@
 def needs_resolution(claim, holder_gone):
     """Returns whether a claim has to be resolved by another process.
 
-    An open claim is left to its holder as long as the holder may still
-    be alive.
+    An open claim is left to its holder, the process that opened it, as
+    long as that process may still be alive.
     """
     if claim.state is _bucket.State.OPEN:
         return holder_gone
