--- a/dandelionwinch/jobs/_assembly.py
+++ b/dandelionwinch/jobs/_assembly.py
@@ -1,24 +1,27 @@
-"""Assembles one answer from the pieces of several attempts."""
+"""Assembles one answer from the streamed chunks of several attempts."""
 
 
 class StreamGap(Exception):
-    """A piece arrived although one before it is missing."""
+    """A chunk arrived although one before it is missing."""
 
 
 class AnswerAssembly:
     """The answer of one job over all its attempts.
 
-    Attempts are numbered. Pieces of a superseded attempt and duplicate
-    pieces are dropped. An attempt either resumes the generation of the
-    attempt before it, with the same offsets, or continues the text as a
-    new generation on another upstream, with offsets from zero.
+    A generation is one run of the job on one upstream; an attempt is one
+    request for its stream. An attempt either resumes the generation of
+    the attempt before it, with the same offsets, or continues the text
+    as a new generation on another upstream, with offsets from zero.
+
+    Attempts are numbered. Chunks of a superseded attempt and duplicate
+    chunks are dropped.
 
     Attributes:
         attempt: Number of the newest attempt.
-        next_offset: Index in the answer of the next piece.
+        next_offset: Index in the answer of the next chunk.
         ended: Whether the answer is complete.
-        tokens: Number of pieces with text; the last piece often has
-            none.
+        tokens: Number of chunks with text, each of which counts as one
+            token; the last chunk often has no text.
     """
 
     __slots__ = (
@@ -63,23 +66,23 @@
         return self.attempt
 
     def last_offset(self):
-        """Returns the last offset received of the generation, or -1."""
+        """Returns the offset of the last chunk of the generation, or -1."""
         return self.next_offset - self._generation_start - 1
 
     def accept(self, attempt, offset, text):
-        """Adds a piece unless it is stale or a duplicate.
+        """Adds a chunk unless it is stale or a duplicate.
 
         Args:
             attempt: Number of the attempt that it belongs to.
             offset: Its index within the generation; below 0 if the
-                upstream gives none.
+                upstream gives none, which makes it the next one.
             text: Its text.
 
         Returns:
-            Whether the piece is new and has to be passed on.
+            Whether the chunk is new and has to be passed on.
 
         Raises:
-            StreamGap: If a piece before it is missing.
+            StreamGap: If a chunk before it is missing.
         """
         if attempt != self.attempt or self.ended:
             return False
--- a/dandelionwinch/jobs/_requests.py
+++ b/dandelionwinch/jobs/_requests.py
@@ -28,9 +28,12 @@
         max_tokens: Largest number of tokens of the answer.
         prefix: Hash of the model and the start of the prompt, by which
             placement estimates prefix cache hits.
-        priority: The client's priority, from -10 to 10.
+        priority: The client's priority, from -10 to 10. It is only
+            validated here; the upstream gets it in the body and defines
+            its order.
         continuable: Whether another upstream can continue a partial
-            answer, because the answer is a single plain text.
+            answer, because the answer is a single plain text without
+            tool calls or log probabilities.
     """
 
     path: str
@@ -138,7 +141,8 @@
     Args:
         job: The CompletionRequest.
         partial: Text of the answer so far.
-        generated_tokens: Number of tokens of that text.
+        generated_tokens: Number of tokens of that text; they count
+            against the limit of the client's request.
 
     Returns:
         A dict; a copy of the client's body if there is no text so far.
