--- a/dandelionwinch/revisions/_programs.py
+++ b/dandelionwinch/revisions/_programs.py
@@ -33,8 +33,11 @@
 class StoreFailure:
     """Result: the store did not answer, or every write conflicted.
 
+    Unlike claims.Unreached, it may follow a write that took effect.
+
     Attributes:
-        uncertain: Whether a write may have taken effect.
+        uncertain: Whether a write may have taken effect, because its
+            reply was lost (effects.Uncertain).
     """
 
     uncertain: bool = False
@@ -49,7 +52,7 @@
 
 @attrs.frozen
 class Rejected:
-    """Result: the document is not at the revision that was expected.
+    """Result: a document is not at the revision that the change expects.
 
     Attributes:
         path: Path of the document.
@@ -95,18 +98,18 @@
     return Fetched(revision, tuple(documents), reply.revision)
 
 
-def change(edit, token):
+def change(edit, change_id):
     """Commits a change to the newest configuration.
 
     The head and the documents are written in one transaction. If a reply
-    is lost, the next attempt finds the change's token in the head when
-    the write took effect, so that no change is committed twice.
+    is lost, the next attempt finds the change's id in the head if the
+    write took effect, so that no change is committed twice.
 
     Args:
         edit: Function from Documents at the newest revision to a
-            mapping of path to new content (None removes the document).
-            It may raise, or return a Rejected.
-        token: String that is unique to this change.
+            mapping of path to new content (None removes the document),
+            or to a Rejected, which is returned. It may raise.
+        change_id: String that is unique to this change.
 
     Returns:
         Changed, Rejected or StoreFailure.
@@ -124,16 +127,16 @@
             else:
                 documents.append(_load_document(record))
         raw = json.loads(head.value) if head.value else {}
-        committed = raw.get('tokens', {}).get(token)
-        if committed is not None:
-            return Changed(committed)
+        committed_revision = raw.get('tokens', {}).get(change_id)
+        if committed_revision is not None:
+            return Changed(committed_revision)
         newest = _documents.Documents()
         newest.adopt(raw.get('revision', 0), documents)
         edits = edit(newest)
         if isinstance(edits, Rejected):
             return edits
         revision = newest.revision + 1
-        written = yield _commit_of(head, raw, revision, edits, token)
+        written = yield _commit_of(head, raw, revision, edits, change_id)
         match written:
             case effects.Committed():
                 return Changed(revision)
@@ -144,13 +147,13 @@
     return StoreFailure(uncertain)
 
 
-# Number of newest changes whose tokens the head keeps.
-MAX_TOKENS = 64
+# Number of newest changes whose ids the head keeps, in its field "tokens".
+MAX_CHANGE_IDS = 64
 
 
-def _commit_of(head, raw, revision, edits, token):
-    tokens = {**raw.get('tokens', {}), token: revision}
-    newest = dict(list(tokens.items())[-MAX_TOKENS:])
+def _commit_of(head, raw, revision, edits, change_id):
+    change_ids = {**raw.get('tokens', {}), change_id: revision}
+    newest = dict(list(change_ids.items())[-MAX_CHANGE_IDS:])
     value = {'revision': revision, 'tokens': newest}
     puts = [effects.Put(HEAD_KEY, json.dumps(value).encode())]
     for path, content in edits.items():
--- a/dandelionwinch/revisions/_rollout.py
+++ b/dandelionwinch/revisions/_rollout.py
@@ -11,9 +11,9 @@
     """Rollout status of a committed revision.
 
     Attributes:
-        accepted: Whether no instance admits work under an older revision
-            any more.
-        unconfirmed: Names of the instances that have not confirmed the
+        accepted: Whether the revision is rolled out: no instance admits
+            work under an older one any more.
+        unconfirmed: Names of the known instances that still have an older
             revision.
         reason: Why it is not accepted yet, or empty.
     """
@@ -24,11 +24,11 @@
 
 
 class RolloutTracker:
-    """Tracks one committed revision until it is accepted.
+    """Tracks one committed revision until it is rolled out.
 
-    A revision is accepted once a majority of data centres, each with all
-    its instances, has held it for longer than an instance may go without
-    contact. By then every instance with an older revision has either
+    A revision is rolled out once a majority of data centres, each with
+    all its instances, has held it for longer than an instance may go
+    without contact. By then every instance with an older revision has either
     been in contact with one of them, and so fetched the revision, or
     refuses new work by itself. This also covers instances that are
     partitioned and instances that are not known here yet.
@@ -67,12 +67,12 @@
         names = tuple(member.name for member in unconfirmed)
         outdated = {member.data_centre for member in unconfirmed}
         updated = {member.data_centre for member in members} - outdated
-        confirmed = [
+        updated_data_centres = [
             data_centre
             for data_centre in self._data_centres
             if data_centre in updated
         ]
-        if 2 * len(confirmed) <= len(self._data_centres):
+        if 2 * len(updated_data_centres) <= len(self._data_centres):
             self._majority_since = None
             return RolloutStatus(
                 False, names, 'no majority of data_centres holds it'
