--- a/dandelionwinch/earnings/__init__.py
+++ b/dandelionwinch/earnings/__init__.py
@@ -1,4 +1,7 @@
-"""Accounting of finished work that was delivered to its client."""
+"""Usage accounting: jobs and output tokens delivered, by team.
+
+The totals count work, not money. They are stored under ``earnings/``.
+"""
 
 from dandelionwinch.earnings._ledger import Ledger
 from dandelionwinch.earnings._ledger import ledger_key
--- a/dandelionwinch/earnings/_ledger.py
+++ b/dandelionwinch/earnings/_ledger.py
@@ -11,9 +11,9 @@
 
 from dandelionwinch import effects
 
-# Number of newest job ids that are remembered to detect duplicates.
+# Number of newest job ids that are kept to recognize duplicates.
 MAX_RECORDED_JOBS = 4096
-# Rate of writes by all instances together.
+# Upper limit for the writes of all instances together.
 TOTAL_WRITES_PER_S = 20.0
 
 
@@ -40,7 +40,7 @@
     """Returns the seconds between two writes of an instance's totals.
 
     The interval grows with the number of instances, so that all of them
-    together write at a constant rate.
+    together do not exceed a constant rate.
 
     Args:
         min_interval_s: Shortest interval in seconds.
