--- a/dandelionwinch/effects.py
+++ b/dandelionwinch/effects.py
@@ -1,9 +1,9 @@
-"""Requests and replies of sans-I/O programs that use the store.
+"""The effects of sans-I/O programs: requests and replies of the store.
 
-A program is a generator: it yields one of the requests below, receives
-the reply and finally returns its result. It needs no socket, clock or
-thread of its own, so the same program runs in the daemon, in tests and
-in simulations.
+A program is a generator. An effect is something that it needs done
+outside: it yields one of the requests below, receives the reply and
+finally returns its result. It needs no socket, clock or thread of its
+own, so the same program runs in the daemon, in tests and in simulations.
 """
 
 import attrs
@@ -37,9 +37,10 @@
 
 @attrs.frozen
 class Guard:
-    """A condition: the key's record has this store revision.
+    """A precondition of a Commit: the key's record has this revision.
 
-    Revision 0 means that the key does not exist.
+    It is a compare of etcd's transactions on the store revision that last
+    wrote the key. Revision 0 means that the key does not exist.
     """
 
     key: str
@@ -75,8 +76,8 @@
     """Reply: the time in seconds.
 
     Attributes:
-        now: Monotonic clock.
-        wall: Wall clock.
+        now: Monotonic clock, for durations.
+        wall: Wall clock, for times that are stored.
     """
 
     now: float
@@ -134,7 +135,11 @@
 
 @attrs.frozen
 class Uncertain:
-    """Reply: no answer arrived; the writes may or may not take effect."""
+    """Reply: no answer arrived; the writes may or may not take effect.
+
+    Programs report it as claims.Unsettled and as
+    revisions.StoreFailure(uncertain=True).
+    """
 
 
 def drive(program, execute, clock):
