--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -1,4 +1,9 @@
-"""The entry daemon, which serves clients and operators over HTTP."""
+"""The entry daemon, which serves clients and operators over HTTP.
+
+Worker threads of the listeners run the handlers here and the relays. The
+state of the instance belongs to the core, an event loop in a thread of
+its own; handlers and relays send it messages by ``core.request``.
+"""
 
 import threading
 
@@ -21,7 +26,7 @@
 
 
 class Entry:
-    """One entry instance: its core, relays and listeners.
+    """One instance of the entry daemon: its core, relays and listeners.
 
     Args:
         cfg: EntrySettings.
@@ -52,14 +57,21 @@
         return self._core
 
     def start(self):
-        """Starts the core, then the listeners; the client listener last."""
+        """Starts the core, then the listeners; the client listener last.
+
+        So no client is served before the core and operators' access work.
+        """
         self._core.start()
         self._operator_listener.start()
         self._client_listener.start()
         logger.info('serving clients on {}', self._cfg.instance.client_address)
 
     def stop(self):
-        """Drains the instance and closes it: no running job is cut off."""
+        """Drains the instance and closes it; only the first call has effect.
+
+        Running jobs are completed if they end within
+        ``timing.drain_limit_s``.
+        """
         if self._stopped.is_set():
             return
         self._stopped.set()
