--- a/dandelionwinch/settings.py
+++ b/dandelionwinch/settings.py
@@ -1,4 +1,7 @@
-"""Settings of an instance and documents of the catalog, with defaults."""
+"""Settings of the entry daemon and documents of the catalog.
+
+Names of classes and attributes here are in findings that operators read.
+"""
 
 import enum
 import re
@@ -54,7 +57,7 @@
 
 
 class Repeat(enum.StrEnum):
-    """Whether a call of a service may be executed more than once."""
+    """Retry policy: whether a call may be executed more than once."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -238,7 +241,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntrySettings:
-    """All settings of an entry instance."""
+    """All settings of one instance of the entry daemon."""
 
     instance: InstanceSettings
     store: StoreSettings
@@ -314,7 +317,10 @@
 
 @attrs.frozen(kw_only=True)
 class Pool:
-    """Upstreams of one data centre that serve one model or plain services."""
+    """Upstreams of one data centre that serve one model or plain services.
+
+    Not a connection pool; those are adapters.connection_pools.
+    """
 
     name: str = attrs.field(validator=_is_name)
     data_centre: str = attrs.field(validator=_is_name)
@@ -325,7 +331,7 @@
 
 @attrs.frozen(kw_only=True)
 class Fleet:
-    """A named set of pools."""
+    """A named set of pools of upstreams."""
 
     name: str = attrs.field(validator=_is_name)
     pools: list[str] = attrs.field(factory=list)
@@ -393,7 +399,7 @@
 
 @attrs.frozen(kw_only=True)
 class Instance:
-    """State of an entry instance that operators request."""
+    """State of an instance of the entry daemon that operators request."""
 
     name: str = attrs.field(validator=_is_name)
     state: UpstreamState = UpstreamState.ACTIVE
