--- a/dandelionwinch/completion_relay.py
+++ b/dandelionwinch/completion_relay.py
@@ -17,7 +17,7 @@
 REQUEST_TIMEOUT = 408
 TOO_MANY_REQUESTS = 429
 SERVER_ERROR = 500
-# Slack on top of the expected time to first token.
+# Added to the expected time to first token.
 FIRST_TOKEN_MARGIN_S = 2.0
 EVENT_STREAM = 'text/event-stream'
 _DONE_EVENT = b'data: [DONE]\n\n'
@@ -27,7 +27,7 @@
     """Relays completions in the calling worker thread.
 
     Args:
-        core: The daemon's Core.
+        core: The Core of the entry daemon; it places and counts the jobs.
     """
 
     def __init__(self, core):
@@ -68,15 +68,15 @@
 
     @staticmethod
     def _stream_response(request, answer, finish):
-        pieces = answer.pieces()
-        # Waits for the first piece, so that an earlier failure is
-        # answered with its own HTTP status.
-        first = next(pieces, None)
-        chunks = _sse_events(request.id, answer, first, pieces)
+        chunks = answer.chunks()
+        # Waits for the first chunk, so that a failure before it is
+        # answered with an HTTP status of its own.
+        first = next(chunks, None)
+        events = _sse_events(request.id, answer, first, chunks)
         return listeners.Response(
             content_type=EVENT_STREAM,
             headers={'Cache-Control': 'no-store'},
-            chunks=delivery.ResponseStream(chunks, finish, answer.tokens),
+            chunks=delivery.ResponseStream(events, finish, answer.tokens),
         )
 
     @staticmethod
@@ -93,24 +93,31 @@
 
 
 @attrs.define
-class _Target:
-    """The upstream of the present generation.
+class _Generation:
+    """One run of a job on one upstream, over all attempts to stream it.
 
     Attributes:
         placement: Where the generation runs.
-        generation: Number of the generation within the job.
+        number: Number of the generation within the job, from 1.
+        transfer: Not used.
     """
 
     placement: messages.Placement
-    generation: int
+    number: int
     transfer: dict | None = None
 
 
 class _AnswerRelay:
     """Relays the answer of one job over all its attempts.
 
-    An attempt resumes the generation of the one before it or starts a
-    new generation on another upstream.
+    A generation is one run of the job on one upstream; its attempts are
+    the requests for its stream. An attempt resumes the generation of the
+    one before it or starts a new generation on another upstream.
+
+    Args:
+        core: The Core of the entry daemon.
+        job_id: Identifier of the job.
+        job: The jobs.CompletionRequest.
     """
 
     def __init__(self, core, job_id, job):
@@ -122,8 +129,8 @@
         self._deadline = time.monotonic() + self._cfg.deadline_s
         self._started = time.monotonic()
         self._failed_upstreams = set()
-        self._target = None
-        self._generation = 0
+        self._generation = None
+        self._generation_count = 0
         self._sent = False
         self._resumes = 0
         self._answer_chars = 0
@@ -133,8 +140,8 @@
         """Returns the number of tokens of the answer so far."""
         return self._reported_tokens or self._assembly.tokens
 
-    def pieces(self):
-        """Yields new pieces in order until the answer is complete.
+    def chunks(self):
+        """Yields new chunks in order until the answer is complete.
 
         Raises:
             DandelionwinchError: If the answer cannot be completed.
@@ -153,7 +160,7 @@
             call = self._build_call()
             self._sent = True
             stream = self._core.upstreams.stream(
-                self._target.placement.address, call
+                self._generation.placement.address, call
             )
             for item in stream:
                 yield from self._accept(attempt, item)
@@ -166,15 +173,15 @@
 
     def _start_attempt(self):
         """Resumes the present generation, or places a new one."""
-        if self._target is not None:
+        if self._generation is not None:
             return self._assembly.resume()
-        self._generation += 1
+        self._generation_count += 1
         placement = self._core.request(
             messages.PlaceCompletion(
                 self._job_id, self.job, frozenset(self._failed_upstreams)
             )
         )
-        self._target = _Target(placement, self._generation)
+        self._generation = _Generation(placement, self._generation_count)
         self._resumes = 0
         return self._assembly.start_continuation()
 
@@ -182,13 +189,13 @@
         body = jobs.continuation_body(
             self.job, self._partial_text(), self._assembly.tokens
         )
-        placement = self._target.placement
+        placement = self._generation.placement
         chunk_timeout_s = max(
             self._cfg.least_silence_s,
             self._cfg.silence_factor * placement.token_gap_s,
         )
         call = upstream_adapter.Call(
-            job_id=f'{self._job_id}-{self._target.generation}',
+            job_id=f'{self._job_id}-{self._generation.number}',
             path=self.job.path,
             body=body,
             resume_after=self._assembly.last_offset(),
@@ -197,18 +204,27 @@
                 placement.first_token_s + FIRST_TOKEN_MARGIN_S, self._left_s()
             ),
         )
+        # A generation that is not resumed starts with a prefill. `call`
+        # holds the same dict, so it also gets the parameters.
         if placement.prefill_address and call.resume_after < 0:
             body['kv_transfer_params'] = self._prefill(placement, call)
         return call
 
     def _partial_text(self):
-        # The upstream of a resumed generation has the prompt already;
-        # only a new generation needs the text so far.
+        # The upstream of a resumed generation already has the prompt; only
+        # a new generation needs the text so far.
         if self._assembly.last_offset() >= 0:
             return ''
         return self._assembly.text
 
     def _prefill(self, placement, call):
+        """Runs the prefill upstream; returns the KV transfer parameters.
+
+        A refusal or an incomplete response is reported as a failure of the
+        prefill upstream and then raised as UpstreamUnreachable, so that the
+        job is placed anew. The attempt handles that like an unreachable
+        decode upstream, which it reports and excludes as well.
+        """
         try:
             return self._core.upstreams.prefill(
                 placement.prefill_address, call
@@ -280,9 +296,9 @@
 
     def _fail_over(self, reason):
         """Excludes the upstream, so that the next attempt uses another."""
-        self._report_failure(self._target.placement.upstream, reason)
+        self._report_failure(self._generation.placement.upstream, reason)
         self._cancel()
-        self._target = None
+        self._generation = None
         if self._assembly.next_offset and not self.job.continuable:
             raise self._failure(
                 f'the answer broke off and cannot be continued: {reason}'
@@ -302,11 +318,12 @@
             raise self._failure(f'no retries are left after: {reason}')
 
     def _cancel(self):
-        target = self._target
-        if target is None or not self._sent:
+        generation = self._generation
+        if generation is None or not self._sent:
             return
         self._core.upstreams.cancel(
-            target.placement.address, f'{self._job_id}-{target.generation}'
+            generation.placement.address,
+            f'{self._job_id}-{generation.number}',
         )
 
     def whole(self, request_id):
@@ -314,14 +331,14 @@
         if not self.job.continuable:
             return self._fetch_whole()
         finish_reason = 'stop'
-        for piece in self.pieces():
-            finish_reason = _finish_reason(piece) or finish_reason
+        for chunk in self.chunks():
+            finish_reason = _finish_reason(chunk) or finish_reason
         return json.dumps(
             _whole_body(request_id, self.job, self._assembly, finish_reason)
         ).encode()
 
     def _fetch_whole(self):
-        """Fetches an answer that cannot be assembled from pieces."""
+        """Fetches an answer that cannot be assembled from chunks."""
         while True:
             self._check_deadline()
             self._start_attempt()
@@ -330,7 +347,7 @@
                 call = attrs.evolve(call, first_chunk_timeout_s=self._left_s())
                 self._sent = True
                 body = self._core.upstreams.fetch(
-                    self._target.placement.address, call
+                    self._generation.placement.address, call
                 )
                 usage = body.get('usage') or {}
                 self._reported_tokens = int(
@@ -347,14 +364,14 @@
                 self._fail_over(str(exc))
 
 
-def _finish_reason(piece):
-    for choice in piece.choices:
+def _finish_reason(chunk):
+    for choice in chunk.choices:
         if choice.get('finish_reason'):
             return choice['finish_reason']
     return ''
 
 
-def _sse_events(request_id, answer, first, pieces):
+def _sse_events(request_id, answer, first, chunks):
     """Yields server-sent events; the last one is [DONE] or an error."""
     head = {
         'id': request_id,
@@ -365,14 +382,14 @@
     try:
         if first is not None:
             yield _sse_event({**head, 'choices': first.choices})
-        for piece in pieces:
-            yield _sse_event({**head, 'choices': piece.choices})
+        for chunk in chunks:
+            yield _sse_event({**head, 'choices': chunk.choices})
         yield _DONE_EVENT
     except errors.DandelionwinchError as exc:
         yield _sse_event(listeners.error_body(exc, request_id))
         raise
     finally:
-        pieces.close()
+        chunks.close()
 
 
 def _sse_event(value):
--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -184,7 +184,9 @@
         key = f'{placement.service.name}/{call.key}'
         claim_id = f'{core.name}#{core.incarnation}#{call.request_id}'
         content = f'{call.method} {call.path}\n'.encode() + call.body
-        self._opening = claims.Open(key, claim_id, utils.digest_of(content))
+        self._open_mutation = claims.Open(
+            key, claim_id, utils.digest_of(content)
+        )
 
     def run(self):
         """Runs the call, or returns the recorded answer of its key.
@@ -197,10 +199,10 @@
                 tells whether the call may have run.
         """
         program = claims.run_at_most_once(
-            self._opening,
+            self._open_mutation,
             self._service.dedupes_by_key,
             self._core.cfg.claims.send_window_s,
-            self._close_with,
+            self._close_for,
         )
         result = effects.drive(program, self._execute, _clock)
         match result:
@@ -278,7 +280,7 @@
 
     def _replay(self, claim):
         """Returns the recorded answer, or its digest if it is not stored."""
-        if claim.request not in ('', self._opening.request):
+        if claim.request not in ('', self._open_mutation.request):
             raise errors.KeyReused(
                 f'key "{self._call.key}" was used for another request'
             )
@@ -299,10 +301,10 @@
         answer = service_adapter.Answered(200, body, 'application/json')
         return answer, headers
 
-    def _close_with(self, answer):
+    def _close_for(self, answer):
         return claims.close_with_answer(
-            self._opening.key,
-            self._opening.token,
+            self._open_mutation.key,
+            self._open_mutation.token,
             claims.StoredAnswer(
                 answer.status, answer.content_type, answer.body
             ),
