--- a/dandelionwinch/listeners.py
+++ b/dandelionwinch/listeners.py
@@ -1,4 +1,8 @@
-"""HTTP listeners for clients and operators, based on cheroot."""
+"""HTTP listeners of the entry daemon, based on cheroot.
+
+A Request here is an HTTP request; what handlers send to the core by
+``core.request`` is a message.
+"""
 
 import hmac
 import http
@@ -26,7 +30,7 @@
 
 @attrs.frozen
 class Request:
-    """One request of a client or an operator.
+    """One HTTP request of a client or an operator.
 
     Attributes:
         id: Identifier, which the answer carries as X-Request-Id.
--- a/dandelionwinch/service_relay.py
+++ b/dandelionwinch/service_relay.py
@@ -27,7 +27,7 @@
     """Relays calls of plain services in the calling worker thread.
 
     Args:
-        core: The daemon's Core.
+        core: The Core of the entry daemon; it places and counts the calls.
     """
 
     def __init__(self, core):
@@ -102,7 +102,11 @@
         return _AtMostOnceCall(self._core, call, placement).run()
 
     def _call_with_retries(self, call, placement):
-        """Retries within the budget and never after the deadline."""
+        """Tries each upstream at most twice, until the deadline.
+
+        Every attempt but the first takes a retry from the service's
+        budget.
+        """
         service = placement.service
         deadline = time.monotonic() + service.deadline_s
         reason = 'no upstream was tried'
@@ -136,7 +140,11 @@
         return self._hedge(call, upstream, others[0], left_s)
 
     def _hedge(self, call, upstream, other, left_s):
-        """Calls a second upstream if the first one takes too long."""
+        """Calls a second upstream if the first takes over HEDGE_DELAY_S.
+
+        Returns the first answer that can be relayed. The second call takes
+        a retry from a budget of its own (see _hedge_target).
+        """
         services = self._core.services
         first = self._hedge_pool.submit(
             services.call, upstream.address, call, left_s
@@ -169,11 +177,18 @@
 
     @staticmethod
     def _hedge_target(call):
+        """Returns the name of the retry budget for hedges of a path."""
         return f'hedge {call.path}'
 
 
 class _AtMostOnceCall:
-    """One call of a service that is not idempotent."""
+    """One call of a service that is not idempotent.
+
+    Args:
+        core: The Core of the entry daemon.
+        call: The ServiceCall; it has a key.
+        placement: The messages.ServicePlacement.
+    """
 
     def __init__(self, core, call, placement):
         self._core = core
@@ -222,6 +237,7 @@
         )
 
     def _execute(self, request):
+        """Executes a request of the program; the core writes the claims."""
         match request:
             case claims.WriteOpen(mutation=mutation):
                 return self._core.request(messages.OpenClaim(mutation))
@@ -255,6 +271,8 @@
         reply = self._core.services.fetch_outcome(
             self._upstream.address, self._call.key
         )
+        # NeverSeen is no proof that the call does not run: it may still be
+        # in transit (see claims.resolved_state).
         if not isinstance(reply, service_adapter.Ran):
             return claims.Outcome(claims.OutcomeStatus.INDETERMINATE)
         answer = service_adapter.Answered(200, reply.body, 'application/json')
@@ -280,6 +298,7 @@
 
     def _replay(self, claim):
         """Returns the recorded answer, or its digest if it is not stored."""
+        # The digest is empty if a Close created the claim.
         if claim.request not in ('', self._open_mutation.request):
             raise errors.KeyReused(
                 f'key "{self._call.key}" was used for another request'
@@ -337,6 +356,7 @@
         if body:
             yield body
 
+    # A call of a service counts as one token.
     return listeners.Response(
         answer.status,
         content_type=answer.content_type or 'application/octet-stream',
