--- a/dandelionwinch/settings.py
+++ b/dandelionwinch/settings.py
@@ -135,7 +135,7 @@
             systems are closed.
         silence_factor: Timeout between chunks as a multiple of the
             expected token gap.
-        least_silence_s: Least timeout between chunks.
+        least_silence_s: Minimum timeout between chunks.
         deadline_s: Time after which the relay gives up a model job.
         retry_share: Retries that each successful job earns.
     """
@@ -173,7 +173,8 @@
         answer_valid_s: Time for which a client may use an address.
         cut_off_s: Time without contact after which an instance is cut off.
         drain_limit_s: Longest wait for running jobs at a shutdown.
-        earnings_s: Period of writing earnings.
+        earnings_s: Minimum period of writing the usage totals of
+            ``earnings``.
         gone_margin_s: Time that an instance must be absent from the list
             before it counts as gone.
     """
@@ -198,6 +199,8 @@
     Attributes:
         buckets: Number of store records that hold the claims.
         retention_s: Time for which the claim of a key is kept.
+        max_bucket_bytes: Estimated size of a bucket above which it gets
+            no new claims.
         max_kept_answer_bytes: Largest answer that is stored with a claim.
         batch_wait_s: Time for which claims are collected into one write.
         send_window_s: Time after the request for a claim within which the
@@ -241,7 +244,14 @@
 
 @attrs.frozen(kw_only=True)
 class EntrySettings:
-    """All settings of one instance of the entry daemon."""
+    """All settings of one instance of the entry daemon.
+
+    Attributes:
+        when_cut_off: Whether new work is accepted while it is cut off.
+        events_kept: Number of newest events that operators can read.
+        catalog_file: YAML file of the catalog that is written to the store
+            if the store has no configuration yet, or empty.
+    """
 
     instance: InstanceSettings
     store: StoreSettings
