--- a/dandelionwinch/__init__.py
+++ b/dandelionwinch/__init__.py
@@ -31,8 +31,8 @@
 * ``settings``, ``readers``, ``catalog``: settings files and the catalog
   of configuration documents.
 
-The commands are in ``tools``, for tests and measurements there are
-``search``, ``soak``, ``bench`` and ``standins``.
+The commands are in ``tools``; ``search``, ``soak``, ``bench`` and
+``standins`` are for tests and measurements.
 """
 
 __version__ = '0.2.0'
--- a/dandelionwinch/claims/_at_most_once.py
+++ b/dandelionwinch/claims/_at_most_once.py
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class QueryOutcome:
-    """Request: queries the upstream of the last SendCall for the outcome.
+    """Request: queries the last upstream called for the key's outcome.
 
     The reply is an Outcome.
     """
--- a/dandelionwinch/entry.py
+++ b/dandelionwinch/entry.py
@@ -59,7 +59,7 @@
     def start(self):
         """Starts the core, then the listeners; the client listener last.
 
-        So no client is served before the core and operators' access work.
+        No client is served before the core runs and operators can connect.
         """
         self._core.start()
         self._operator_listener.start()
