--- a/dandelionwinch/dispatch/_engines.py
+++ b/dandelionwinch/dispatch/_engines.py
@@ -42,8 +42,8 @@
 FAR_PREFILL_WEIGHT = 0.5
 # Engines considered for a prompt that its affinity engine refuses.
 MAX_FALLBACK_ENGINES = 4
-# Limit of the background prompts of all instances, for each slot of an engine,
-# and the factor on it for late prompts.
+# Limit of the background prompts of all instances at an engine, as a multiple
+# of its slots, and the factor by which it is higher for late prompts.
 BACKGROUND_PER_SLOT = 2.2
 LATE_BACKGROUND_RATIO = 1.3
 # Part of the allowed token gap above which the rate limit is decreased.
@@ -254,7 +254,7 @@
 
         It is weighted rendezvous hashing by the last shared block, so the
         scores are equal at all instances. A prompt that shares no block
-        has a random engine.
+        gets a random engine.
         """
         key = (
             prompt.shared_blocks[-1][0]
--- a/dandelionwinch/dispatch/_prefill_rates.py
+++ b/dandelionwinch/dispatch/_prefill_rates.py
@@ -10,9 +10,9 @@
 # samples are mostly due to queueing.
 INCREASE_GAIN = 0.05
 DECREASE_GAIN = 0.005
-# A larger sample is reduced to this ratio to the present rate.
+# A sample counts as at most this multiple of the present rate.
 MAX_SAMPLE_RATIO = 4.0
-# A smaller prompt is no sample.
+# Smaller prompts yield no sample.
 MIN_SAMPLE_TOKENS = 1000
 
 
--- a/dandelionwinch/dispatch/_transfers.py
+++ b/dandelionwinch/dispatch/_transfers.py
@@ -8,7 +8,7 @@
 from dandelionwinch.dispatch import _overdue
 
 # Overdue time above which the transfers of an engine count as stalled. Far
-# transfers take ten times as long, so they are reduced first.
+# transfers take ten times as long, so their limit is reached first.
 NEAR_DELAY_S = 0.15
 FAR_DELAY_S = 0.05
 # How long an engine counts as stalled after its last overdue transfer.
--- a/dandelionwinch/upstreams/_deregistration.py
+++ b/dandelionwinch/upstreams/_deregistration.py
@@ -34,7 +34,7 @@
         self._failed_at = now
 
     def deregistered(self, upstream_ids, count, now):
-        """Holds or releases upstreams whose entries vanished together.
+        """Decides on upstreams whose entries vanished together.
 
         Args:
             upstream_ids: Ids of the upstreams.
