--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -130,11 +130,11 @@
     for node in nodes:
         for address in node.members.tick(now):
             peer = by_address[address]
-            peer_centre = peer.members.local.data_centre
-            node_centre = node.members.local.data_centre
-            request = node.digest(address, peer_centre, now)
+            peer_data_centre = peer.members.local.data_centre
+            node_data_centre = node.members.local.data_centre
+            request = node.digest(address, peer_data_centre, now)
             peer.receive(node.name, request, now)
-            reply = peer.digest(node.name, node_centre, now)
+            reply = peer.digest(node.name, node_data_centre, now)
             node.receive(address, reply, now)
 
 
--- a/dandelionwinch/bench/overload/_engine.py
+++ b/dandelionwinch/bench/overload/_engine.py
@@ -170,9 +170,9 @@
     def _fetch_kv_cache(self, req, now):
         """Fetches the KV cache; a link carries one transfer at a time."""
         source = req.kv_source
-        same_centre = source.data_centre == self.data_centre
+        same_data_centre = source.data_centre == self.data_centre
         duration_s = req.prompt.tokens * self._spec.transfer_s
-        duration_s *= 1.0 if same_centre else CROSS_REGION_FACTOR
+        duration_s *= 1.0 if same_data_centre else CROSS_REGION_FACTOR
         start = max(now, self._link_free_at, source._link_free_at)
         if start - now > MAX_TRANSFER_WAIT_S:
             req.on_refused(now)
