--- a/dandelionwinch/bench/_simulation.py
+++ b/dandelionwinch/bench/_simulation.py
@@ -196,9 +196,9 @@
         if state.decode_upstream == engine.number:
             engine.add_decode(state)
             return
-        self._schedule_after(KV_TRANSFER_S, self._hand_over, state)
+        self._schedule_after(KV_TRANSFER_S, self._start_decode, state)
 
-    def _hand_over(self, state):
+    def _start_decode(self, state):
         engine = None
         if state.decode_upstream >= 0:
             engine = self._engines[state.decode_upstream]
--- a/dandelionwinch/bench/overload/_request.py
+++ b/dandelionwinch/bench/overload/_request.py
@@ -64,7 +64,7 @@
         engine = self._simulation.engines[upstream.entry.id]
         on_first_event, on_end = self._record_first_event, self._complete
         if stage is _engine.Stage.PREFILL:
-            on_first_event, on_end = self._hand_over, self._ignore
+            on_first_event, on_end = self._start_decode, self._ignore
         self._engine_req = _engine.EngineRequest(
             self._arrival.prompt,
             self._arrival.events,
@@ -93,7 +93,7 @@
     def _ignore(self, *_args):
         """Ignores the end of a prefill, which comes with its first event."""
 
-    def _hand_over(self, now):
+    def _start_decode(self, now):
         if self._ended:
             return
         placement = self._placement
