--- a/dandelionwinch/bench/_control.py
+++ b/dandelionwinch/bench/_control.py
@@ -130,11 +130,11 @@
     for node in nodes:
         for address in node.members.tick(now):
             peer = by_address[address]
-            peer_centre = peer.members.local.data_centre
-            node_centre = node.members.local.data_centre
-            request = node.digest(address, peer_centre, now)
+            peer_data_centre = peer.members.local.data_centre
+            node_data_centre = node.members.local.data_centre
+            request = node.digest(address, peer_data_centre, now)
             peer.receive(node.name, request, now)
-            reply = peer.digest(node.name, node_centre, now)
+            reply = peer.digest(node.name, node_data_centre, now)
             node.receive(address, reply, now)
 
 
@@ -270,7 +270,9 @@
     start = counting_store.now
     while counting_store.now < start + STORE_S:
         for lease in leases:
-            counting_store.run(lease.acquire(True, lambda *_args: False))
+            counting_store.run(
+                lease.acquire_or_renew(True, lambda *_args: False)
+            )
         counting_store.now += period_s
     return _cost_since(counting_store, started)
 
@@ -288,10 +290,10 @@
         bucket = claims.bucket_of(key, cfg.buckets)
         window = int(now / cfg.batch_wait_s)
         batch = batches.setdefault((window, bucket), [])
-        token = f'entry#1#{number}'
-        batch.append(claims.Open(key, token, 'request'))
+        claim_id = f'entry#1#{number}'
+        batch.append(claims.Open(key, claim_id, 'request'))
         later = batches.setdefault((window + 5, bucket), [])
-        later.append(claims.Close(key, token, claims.State.DONE))
+        later.append(claims.Close(key, claim_id, claims.State.DONE))
     for (_window, bucket), mutations in sorted(batches.items()):
         name = claims.bucket_key(bucket)
         counting_store.run(claims.commit_batch(name, mutations, cfg))
--- a/dandelionwinch/claims/__init__.py
+++ b/dandelionwinch/claims/__init__.py
@@ -1,16 +1,27 @@
-"""At-most-once execution of calls that are not idempotent."""
+"""At-most-once execution of calls that are not idempotent.
+
+A claim is the stored record of one idempotency key; whoever writes it
+first may send the call. Claims are grouped into buckets; a bucket is
+one value in the store and is changed by compare-and-swap.
+
+Opens and Closes are the mutations of a bucket; Granted, Held, Expired,
+Full, Recorded, Unreached and Unsettled are their results. Done, NotRun,
+Unknown and NotGranted are the results of a whole call by
+run_at_most_once. State is the state of a claim, and OutcomeStatus is
+what an upstream reports about a key.
+"""
 
-from dandelionwinch.claims._at_most_once import CloseClaim
 from dandelionwinch.claims._at_most_once import Done
 from dandelionwinch.claims._at_most_once import NotGranted
 from dandelionwinch.claims._at_most_once import NotRun
-from dandelionwinch.claims._at_most_once import OpenClaim
 from dandelionwinch.claims._at_most_once import Outcome
 from dandelionwinch.claims._at_most_once import QueryOutcome
 from dandelionwinch.claims._at_most_once import run_at_most_once
 from dandelionwinch.claims._at_most_once import SendCall
 from dandelionwinch.claims._at_most_once import SendResult
 from dandelionwinch.claims._at_most_once import Unknown
+from dandelionwinch.claims._at_most_once import WriteClose
+from dandelionwinch.claims._at_most_once import WriteOpen
 from dandelionwinch.claims._bucket import Bucket
 from dandelionwinch.claims._bucket import Claim
 from dandelionwinch.claims._bucket import Close
@@ -37,7 +48,6 @@
     'Bucket',
     'Claim',
     'Close',
-    'CloseClaim',
     'Done',
     'Expired',
     'Full',
@@ -46,7 +56,6 @@
     'NotGranted',
     'NotRun',
     'Open',
-    'OpenClaim',
     'Outcome',
     'OutcomeStatus',
     'QueryOutcome',
@@ -58,6 +67,8 @@
     'Unknown',
     'Unreached',
     'Unsettled',
+    'WriteClose',
+    'WriteOpen',
     'bucket_key',
     'bucket_of',
     'close_with_answer',
--- a/dandelionwinch/control/_order_leader.py
+++ b/dandelionwinch/control/_order_leader.py
@@ -12,14 +12,17 @@
 CAPACITY_KEY = 'dandelionwinch/capacity'
 # Time for the other instances to read an announced role change.
 ANNOUNCE_WAIT_S = 1.2
-# How long an announced engine is treated as changing its role.
+# How long an engine is excluded after an announced role change, unless its
+# entry has the new role before.
 ROLE_CHANGE_S = 16.0
-# Minimum time between two orders of this instance.
-SETTLE_S = 5.0
+# Minimum time between two orders of the holder.
+MIN_ORDER_INTERVAL_S = 5.0
 # Per registered instance, so that few of many try at once.
 ACQUIRE_JITTER_S = 0.35
 RETRY_S = 1.0
-# A renewal counts only if the holder was read from the store this recently.
+# A renewal counts only if the store responded this recently, as another holder
+# is known from its responses only. Two responses are up to
+# _sync.MAX_COALESCE_S + _sync.WATCH_TIMEOUT_S apart if nothing fails.
 MAX_VIEW_AGE_S = 4.5
 
 
@@ -79,12 +82,12 @@
         self._task = self._loop.create_task(self._run())
 
     def close(self):
-        """Stops the task; the lease lapses."""
+        """Stops the task; the lease expires."""
         if self._task is not None:
             self._task.cancel()
 
     async def resign(self):
-        """Stops the task and revokes the lease, before a planned stop."""
+        """Stops the task and revokes the lease, before a graceful stop."""
         self.close()
         lease, self._lease = self._lease, 0
         self._leadership.lost()
@@ -115,9 +118,11 @@
             1, len(self._sync.registered.entries)
         )
         await asyncio.sleep(RETRY_S + spread_s * self._rng.random())
-        if not self._sync.ready or self._sync.holder:
+        if not self._sync.has_routes or self._sync.holder:
             return
         if self._lease:
+            # The lease was lost, or the response to the write of its key was.
+            # Its key, if it still exists, is deleted with it.
             lease, self._lease = self._lease, 0
             await self._revoke(lease)
         sent_at = self._clock()
@@ -152,6 +157,7 @@
             self._leadership.renewed(sent_at)
 
     def _record_loss(self, reason):
+        """Stops sending orders; a later _acquire() revokes the lease."""
         self._log.event('orders.lost', reason=reason)
         self._leadership.lost()
 
@@ -166,12 +172,12 @@
     async def _send_next_order(self):
         """Announces and sends the next order, if one is due and allowed."""
         now = self._loop.time()
-        if now < self._next_order_at or not self._may_order():
+        if now < self._next_order_at or not self._may_send_order():
             return
         role_change = self._plan_role_change(now)
         if role_change is None:
             return
-        self._next_order_at = now + SETTLE_S
+        self._next_order_at = now + MIN_ORDER_INTERVAL_S
         upstream = self._gateway.fleet.registry.get(role_change.upstream_id)
         await self._store.put(
             ROLE_CHANGE_PREFIX + role_change.upstream_id,
@@ -180,10 +186,11 @@
         )
         self._gateway.begin_role_change(role_change.upstream_id, ROLE_CHANGE_S)
         await asyncio.sleep(ANNOUNCE_WAIT_S)
+        # The wait has used up most of leadership.RENEWAL_VALID_S.
         await self._renew()
         if self._gateway.fleet.registry.serves(upstream):
             await self._send(upstream, role_change)
-        self._next_order_at = self._loop.time() + SETTLE_S
+        self._next_order_at = self._loop.time() + MIN_ORDER_INTERVAL_S
 
     def _plan_role_change(self, now):
         fleet = self._gateway.fleet
@@ -204,7 +211,7 @@
 
     async def _send(self, upstream, role_change):
         sent = await self._sender.send(
-            upstream, role_change, self._leadership.token, self._may_order
+            upstream, role_change, self._leadership.token, self._may_send_order
         )
         self._log.event(
             'orders.sent',
@@ -215,5 +222,5 @@
             reason=sent.reason,
         )
 
-    def _may_order(self):
-        return self._leadership.may_order(self._clock())
+    def _may_send_order(self):
+        return self._leadership.may_send_order(self._clock())
--- a/dandelionwinch/control/_order_sender.py
+++ b/dandelionwinch/control/_order_sender.py
@@ -28,7 +28,14 @@
 
 
 class OrderSender:
-    """Sends orders of one instance."""
+    """Sends orders of one instance.
+
+    Args:
+        fleet: Fleet of the gateway, with the pools of connections.
+        wire_codec: WireCodec that also has order_request(),
+            report_request() and accepted_order_count().
+        name: Name of the instance.
+    """
 
     __slots__ = ('_wire_codec', '_fleet', '_name')
 
@@ -37,14 +44,15 @@
         self._wire_codec = wire_codec
         self._name = name
 
-    async def send(self, upstream, role_change, token, may_order):
+    async def send(self, upstream, role_change, token, may_send_order):
         """Sends an order that is valid only for the engine's current state.
 
         Args:
             upstream: The engine.
             role_change: The RoleChange.
             token: Fencing token.
-            may_order: Function that returns whether an order may be sent.
+            may_send_order: Function that returns whether an order may be
+                sent now.
 
         Returns:
             Sent.
@@ -64,7 +72,7 @@
             conn = await pool.acquire(ORDER_TIMEOUT_S)
             try:
                 # There must be no await between this check and the write.
-                if not may_order():
+                if not may_send_order():
                     return Sent(0, 'the lease is not certain')
                 conn.send(request)
                 head = await conn.next_item(ORDER_TIMEOUT_S)
--- a/dandelionwinch/control/_registration.py
+++ b/dandelionwinch/control/_registration.py
@@ -11,8 +11,8 @@
 INSTANCE_PREFIX = 'dandelionwinch/instances/'
 LEASE_S = 4.0
 RETRY_S = 1.0
-# Shorter, as the entry is already gone when its lease has lapsed.
-LAPSED_RETRY_S = 0.1
+# Shorter, as the entry is already gone when its lease has expired.
+EXPIRED_RETRY_S = 0.1
 
 
 def read_entry(value):
@@ -91,7 +91,7 @@
                 self._log.event('registration.lapsed', lease=self._lease)
                 self._lease = 0
                 self._registered = False
-                wait_s = LAPSED_RETRY_S
+                wait_s = EXPIRED_RETRY_S
             except _store.StoreFailed as exc:
                 self._log.event('registration.failed', reason=str(exc))
                 wait_s = min(RETRY_S, wait_s)
@@ -107,7 +107,7 @@
         self._log.event('registration.made', lease=self._lease)
 
     async def withdraw(self):
-        """Removes the entry, before a planned stop."""
+        """Removes the entry, before a graceful stop."""
         if self._task is not None:
             self._task.cancel()
         if not self._lease:
@@ -118,6 +118,6 @@
             self._log.event('registration.not_withdrawn', reason=str(exc))
 
     def close(self):
-        """Stops the task; the lease lapses."""
+        """Stops the task; the lease expires."""
         if self._task is not None:
             self._task.cancel()
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -62,7 +62,9 @@
             elif self._should_acquire(name, pool, now):
                 await self._acquire_lease(name, pool)
         held = sum(
-            1 for a in self._shard_leases.values() if a.holds(core.now())
+            1
+            for lease in self._shard_leases.values()
+            if lease.is_held(core.now())
         )
         core.metrics.shards.set(held)
         core.metrics.frozen.set(
@@ -101,7 +103,7 @@
         upstreams = core.catalog.upstreams_of(pool.name)
         fenced = all(upstream.checks_fencing for upstream in upstreams)
         result = await core.run_program(
-            lease.acquire(fenced, core.departures.is_gone)
+            lease.acquire_or_renew(fenced, core.departures.is_gone)
         )
         match result:
             case orders.Owned(shard=shard) if not held:
@@ -116,7 +118,7 @@
         core = self._core
         for pool in self._pools():
             lease = self._shard_leases.get(orders.shard_of(pool))
-            if lease is None or not lease.holds(core.now()):
+            if lease is None or not lease.is_held(core.now()):
                 continue
             upstreams = core.catalog.upstreams_of(pool.name)
             await asyncio.gather(
@@ -150,8 +152,8 @@
     def _executor(self, lease):
         executor = self._executors.get(lease)
         if executor is None:
-            settle_s = self._core.cfg.timing.gone_margin_s
-            executor = orders.OrderExecutor(lease, settle_s)
+            max_transit_s = self._core.cfg.timing.gone_margin_s
+            executor = orders.OrderExecutor(lease, max_transit_s)
             self._executors[lease] = executor
         return executor
 
--- a/dandelionwinch/orders/_lease.py
+++ b/dandelionwinch/orders/_lease.py
@@ -5,8 +5,9 @@
 from dandelionwinch import effects
 from dandelionwinch.orders import _shard
 
-# Compare-and-swap writes of one call before it gives up.
+# Compare-and-swap attempts of one call before it gives up.
 MAX_ATTEMPTS = 4
+# Renewals that the holder attempts within one lease time.
 RENEWALS_PER_LEASE = 3
 
 
@@ -72,8 +73,8 @@
         self._active_sends = 0
         self._releasing = False
 
-    def holds(self, now):
-        """Returns whether an order may be sent at this time."""
+    def is_held(self, now):
+        """Returns whether this instance certainly holds the lease now."""
         return self.shard is not None and now < self._deadline
 
     @property
@@ -96,9 +97,11 @@
         """Registers the end of a send, with or without a response."""
         self._active_sends -= 1
 
-    def acquire(self, all_check_fencing, is_gone):
+    def acquire_or_renew(self, all_check_fencing, is_gone):
         """Renews the lease if it is held, else tries to acquire it.
 
+        A release that has not completed is abandoned.
+
         Args:
             all_check_fencing: Whether every upstream of the shard rejects
                 orders of an older epoch.
@@ -113,6 +116,8 @@
             renewed = yield from self._renew()
             if renewed:
                 return Owned(self.shard, self._deadline)
+            # The write was lost, or the record has another revision: the
+            # record tells whether the lease is still held.
         for _attempt in range(MAX_ATTEMPTS):
             clock = yield effects.Clock()
             reply = yield effects.Read(self._store_key)
@@ -148,6 +153,7 @@
                 )
             if isinstance(write_reply, effects.Committed):
                 self.wait_reason = ''
+                # The record now has released=False, so orders may be sent.
                 self._releasing = False
                 return Owned(self.shard, self._deadline)
             if isinstance(write_reply, effects.Unavailable):
@@ -177,6 +183,7 @@
             self._revision_seen_at = now
 
     def _blocked_reason(self, shard, all_check_fencing, is_gone, now):
+        """Returns why another instance's lease can't be acquired, or ''."""
         if shard.released:
             return ''
         if is_gone(shard.holder, shard.incarnation, now):
@@ -192,7 +199,7 @@
         return ''
 
     def _store_unavailable(self, now):
-        if self.holds(now):
+        if self.is_held(now):
             return Owned(self.shard, self._deadline)
         if self.shard is not None:
             self._forget()
@@ -200,6 +207,7 @@
         return Waiting('the store was not reached')
 
     def _forget(self):
+        """Records that this instance does not hold the lease any more."""
         self.shard = None
         self._deadline = float('-inf')
 
@@ -229,7 +237,7 @@
         """
         for _attempt in range(MAX_ATTEMPTS):
             clock = yield effects.Clock()
-            if not self.holds(clock.now):
+            if not self.is_held(clock.now):
                 return None
             reply = yield effects.Read(self._store_key)
             if not isinstance(reply, effects.Found):
--- a/dandelionwinch/platform/_wire_codec.py
+++ b/dandelionwinch/platform/_wire_codec.py
@@ -8,7 +8,8 @@
 
 REQUEST_ID = 'x-dandelionwinch-request-id'
 TIMEOUT_MS = 'x-dandelionwinch-request-timeout-ms'
-TARGET = 'x-dandelionwinch-target-instance'
+# The platform calls an upstream an instance.
+UPSTREAM_ID = 'x-dandelionwinch-target-instance'
 NOT_EXECUTED = 'x-dandelionwinch-not-executed'
 SIGNATURE = 'x-dandelionwinch-response-signature'
 MODEL = 'x-dandelionwinch-model'
@@ -19,10 +20,12 @@
 PRIORITY = 'x-dandelionwinch-request-priority'
 LAST_EVENT_ID = 'last-event-id'
 
-# Removed from callers' requests: only the system may set them for an upstream.
-SYSTEM_ONLY = frozenset(
+# Removed from callers' requests, as only the instance may set them for an
+# upstream. TIMEOUT_MS and LAST_EVENT_ID are read from the request and sent
+# anew with each attempt. The instance sets no header that has no constant.
+INTERNAL_HEADERS = frozenset(
     (
-        TARGET,
+        UPSTREAM_ID,
         STAGE,
         KV_SOURCE,
         PRIORITY,
@@ -60,7 +63,9 @@
         if not request_id:
             raise errors.BadRequest(f'header "{REQUEST_ID}" is missing')
         headers = tuple(
-            pair for pair in head.end_to_end() if pair[0] not in SYSTEM_ONLY
+            pair
+            for pair in head.end_to_end()
+            if pair[0] not in INTERNAL_HEADERS
         )
         timeout_ms = _parse_int(head.header(TIMEOUT_MS))
         return gateway.CallerRequest(
@@ -82,7 +87,7 @@
             params: AttemptParams.
         """
         pairs = list(req.headers)
-        pairs.append((TARGET, params.upstream_id))
+        pairs.append((UPSTREAM_ID, params.upstream_id))
         pairs.append((TIMEOUT_MS, str(max(1, int(params.timeout_s * 1e3)))))
         if params.last_event_id is not None:
             pairs.append((LAST_EVENT_ID, str(params.last_event_id)))
@@ -111,14 +116,15 @@
         handle = value.get('kvHandle') if isinstance(value, dict) else None
         return handle if isinstance(handle, str) else ''
 
-    def order_request(self, role_change, holder, token, sequence):
+    def order_request(self, role_change, holder, token, accepted_count):
         """Builds the request that carries a role order to an engine.
 
         Args:
             role_change: RoleChange.
             holder: Name of the instance that holds the order lease.
             token: Fencing token.
-            sequence: Number of orders that the engine must have accepted.
+            accepted_count: Number of orders that the engine must have accepted
+                so far; sent as the precondition of the order.
 
         Returns:
             Method, path, headers and body.
@@ -128,18 +134,18 @@
             'phase': role_change.role.value,
             'holder': holder,
             'fencingToken': token,
-            'precondition': sequence,
+            'precondition': accepted_count,
         }
         headers = [
             ('Host', 'engine'),
             ('Content-Type', 'application/json'),
-            (TARGET, role_change.upstream_id),
+            (UPSTREAM_ID, role_change.upstream_id),
         ]
         return 'POST', '/-/order', headers, json.dumps(body).encode()
 
     def report_request(self, upstream_id):
         """Returns method, path and headers of a request for a report."""
-        headers = [('Host', 'engine'), (TARGET, upstream_id)]
+        headers = [('Host', 'engine'), (UPSTREAM_ID, upstream_id)]
         return 'GET', '/-/report', headers
 
     def accepted_order_count(self, body):
