--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -281,7 +281,7 @@
             raise errors.Unready('no instance takes new work')
         return found
 
-    def not_gone(self):
+    def possibly_running(self):
         """Returns known instances whose process may still be running."""
         return self.departures.remaining(
             self.members.all_instances(), self.now()
@@ -311,7 +311,7 @@
         """
         if self.cfg.when_cut_off == 'serve':
             return False
-        data_centres = membership.populated_data_centres(self.not_gone())
+        data_centres = membership.populated_data_centres(self.possibly_running())
         return self.freshness.is_cut_off(data_centres, self.now())
 
     def leave(self):
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -285,14 +285,14 @@
 
     async def _wait_for_rollout(self, revision, requested_at):
         core = self._core
-        data_centres = membership.populated_data_centres(core.not_gone())
+        data_centres = membership.populated_data_centres(core.possibly_running())
         tracker = revisions.RolloutTracker(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
         while True:
             now = core.now()
             core.members.local.revision = core.documents.revision
-            rollout = tracker.observe(core.not_gone(), now)
+            rollout = tracker.observe(core.possibly_running(), now)
             if rollout.accepted or now - requested_at > ROLLOUT_TIMEOUT_S:
                 break
             await asyncio.sleep(ROLLOUT_POLL_S)
