--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -35,7 +35,7 @@
         core = self._core
         owner = self._remote_owner(query.model)
         if owner is None:
-            return core.scheduler.choose(query)
+            return core.scheduler.place_locally(query)
         reply = await core.peers.call(
             owner.member.peer_address,
             'Place',
@@ -45,13 +45,13 @@
         if reply is None:
             self._backoff_until[owner.name] = core.now() + OWNER_BACKOFF_S
             core.event('decider.silent', owner.name)
-            return core.scheduler.choose(query)
+            return core.scheduler.place_locally(query)
         choice = _wire.load_choice(reply)
         if isinstance(choice, placement.Refusal) or self._is_configured(
             choice
         ):
             return choice
-        return core.scheduler.choose(query)
+        return core.scheduler.place_locally(query)
 
     def _remote_owner(self, model):
         """Returns the owner, or None to place the job locally."""
@@ -94,4 +94,4 @@
             request.prefix,
             frozenset(request.exclude),
         )
-        return _wire.dump_choice(self._core.scheduler.choose(query))
+        return _wire.dump_choice(self._core.scheduler.place_locally(query))
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -124,7 +124,7 @@
         self._record_placement(message, choice, now)
         return self._placement_reply(choice, model)
 
-    def choose(self, query):
+    def place_locally(self, query):
         """Places a job of this data centre by the local load estimates.
 
         Returns:
