--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -311,7 +311,9 @@
         """
         if self.cfg.when_cut_off == 'serve':
             return False
-        data_centres = membership.populated_data_centres(self.possibly_running())
+        data_centres = membership.populated_data_centres(
+            self.possibly_running()
+        )
         return self.freshness.is_cut_off(data_centres, self.now())
 
     def leave(self):
--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -285,7 +285,9 @@
 
     async def _wait_for_rollout(self, revision, requested_at):
         core = self._core
-        data_centres = membership.populated_data_centres(core.possibly_running())
+        data_centres = membership.populated_data_centres(
+            core.possibly_running()
+        )
         tracker = revisions.RolloutTracker(
             revision, data_centres, core.cfg.timing.cut_off_s
         )
