--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -10,8 +10,10 @@
 from dandelionwinch import settings
 from dandelionwinch import utils
 
-# A hold that the instance behind it no longer renews ends after this time.
+# A hold that the instance behind it no longer renews ends after this time. It
+# is renewed by each step of an open order, and each second during a drain.
 HOLD_TTL_S = 10.0
+# Demand that a peer sent longer ago than this is not counted.
 DEMAND_MAX_AGE_S = 10.0
 
 
@@ -48,7 +50,12 @@
         return self._shard_leases.get(shard_name)
 
     def frozen_reason(self, upstream_name):
-        """Returns why no order is sent to an upstream, or an empty string."""
+        """Returns why an upstream is frozen, or an empty string if it is not.
+
+        A frozen upstream gets no new order at present, for example because
+        this instance does not hold the shard lease or an order is open. It
+        still gets jobs, unless there is a hold on it, too.
+        """
         return self._frozen_reasons.get(upstream_name, '')
 
     async def _renew_leases(self):
@@ -123,25 +130,29 @@
             upstreams = core.catalog.upstreams_of(pool.name)
             await asyncio.gather(
                 *(
-                    self._advance_order(lease, upstream)
+                    self._advance_upstream(lease, upstream)
                     for upstream in upstreams
                 )
             )
             if not any(lease.shard.open_order(u.name) for u in upstreams):
                 await self._plan_role_change(lease, pool, upstreams)
 
-    async def _advance_order(self, lease, upstream):
+    async def _advance_upstream(self, lease, upstream):
+        """Advances the open order, or orders the configured role."""
         if lease.shard is None:
             return
         desired = self._configured_role(lease.shard, upstream)
-        await self._step(lease, upstream, desired)
+        await self._run_step(lease, upstream, desired)
 
-    async def _step(self, lease, upstream, desired):
+    async def _run_step(self, lease, upstream, desired):
+        """Runs one step of the OrderExecutor and logs its event."""
         progress = await self._run(
             self._executor(lease).step(upstream, desired),
             lease,
             upstream,
         )
+        # The reason of a closed order is its final state, not a reason to
+        # wait.
         closed = progress.event == 'order.closed'
         self._frozen_reasons[upstream.name] = '' if closed else progress.reason
         if progress.event:
@@ -152,6 +163,8 @@
     def _executor(self, lease):
         executor = self._executors.get(lease)
         if executor is None:
+            # Also covers the longest life of a connection on which an order
+            # may be in flight; see membership.Departures.
             max_transit_s = self._core.cfg.timing.gone_margin_s
             executor = orders.OrderExecutor(lease, max_transit_s)
             self._executors[lease] = executor
@@ -175,12 +188,19 @@
         return await core.run_program(program, handle)
 
     def _configured_role(self, shard, upstream):
+        """Returns the DesiredRole of the configuration, None without a change.
+
+        Nothing is ordered as long as the present role of the upstream is
+        unknown.
+        """
         core = self._core
         last = shard.orders.get(upstream.name)
-        source = core.documents.revision_of(f'upstream/{upstream.name}')
+        revision = core.documents.revision_of(f'upstream/{upstream.name}')
         if upstream.state is settings.UpstreamState.RETIRED:
             return None
-        if last is not None and last.source >= source:
+        # An order was already made at this revision of the document. So a
+        # role that a plan ordered since is not changed back.
+        if last is not None and last.source >= revision:
             return None
         report = core.load_reports.latest(upstream.name)
         if report is None or report.message.failed or not report.message.role:
@@ -190,11 +210,21 @@
         return self._desired_role(shard, upstream, upstream.role)
 
     def _desired_role(self, shard, upstream, role):
-        source = self._core.documents.revision_of(f'upstream/{upstream.name}')
+        """Returns a DesiredRole at the current revision of the document."""
+        revision = self._core.documents.revision_of(
+            f'upstream/{upstream.name}'
+        )
+        # The order gets the next epoch when it is written.
         order_id = f'{upstream.name}-{shard.epoch + 1}'
-        return orders.DesiredRole(str(role), source, order_id)
+        return orders.DesiredRole(str(role), revision, order_id)
 
     async def _hold(self, upstream_name, order_id):
+        """Starts or renews a hold at all live instances.
+
+        Returns:
+            An orders.HoldState. The hold of each instance counts from before
+            the request, so it never ends earlier than assumed here.
+        """
         core = self._core
         requested_at = core.now()
         request = peer_pb2.HoldRequest(
@@ -249,6 +279,8 @@
             estimates,
             self._demand_rates(pool, now),
             core.catalog.policy_of(pool),
+            # No upstream is changing its role, as no order is open; see
+            # _advance_all_orders.
             0,
             now,
         )
@@ -257,14 +289,14 @@
         upstream = core.catalog.get('upstream', change.upstream)
         core.event('role.planned', upstream.name, change.terms)
         desired = self._desired_role(lease.shard, upstream, change.role)
-        await self._step(lease, upstream, desired)
+        await self._run_step(lease, upstream, desired)
 
     def _demand_rates(self, pool, now):
         """Returns the demand on a pool at all instances.
 
         Returns:
-            Pairs of prefill and decode tokens per second: over the short
-            and over the long window.
+            List of two pairs, for the short and the long window. A pair has
+            the prefill and the decode stage's tokens per second.
         """
         own = self._core.scheduler.demands(now).get(pool.name)
         found = [own] if own else []
@@ -272,8 +304,11 @@
             if now - at < DEMAND_MAX_AGE_S and pool.name in demands:
                 found.append(demands[pool.name])
         return [
-            tuple(sum(rates[view][side] for rates in found) for side in (0, 1))
-            for view in (0, 1)
+            tuple(
+                sum(rates[window][stage] for rates in found)
+                for stage in (0, 1)
+            )
+            for window in (0, 1)
         ]
 
     async def hold_for_drain(self, upstream_name):
