--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -9,7 +9,9 @@
 from dandelionwinch import placement
 from dandelionwinch import settings
 
-# Longest useful wait for the first token.
+# A job is refused if its first token is expected later than this. Farther
+# pools are considered if it is expected later than half of this. The target
+# of the model, Model.first_token_s, only enters the relay's timeout.
 MAX_WAIT_S = 5.0
 # Traffic that a job causes on a link between regions.
 BYTES_PER_PROMPT_TOKEN = 6
@@ -89,7 +91,7 @@
         return sum(self._team(name).weight for name in names)
 
     async def place(self, message):
-        """Chooses the upstreams of a completion.
+        """Places a completion, by the placement owner if there is one.
 
         Args:
             message: A PlaceCompletion message.
@@ -127,6 +129,9 @@
     def place_locally(self, query):
         """Places a job of this data centre by the local load estimates.
 
+        The placement owner runs it for its peers, and every instance for its
+        own jobs if no owner can be used; see PlacementRouter.
+
         Returns:
             A placement.Choice or placement.Refusal.
         """
@@ -142,6 +147,8 @@
             prompt_tokens=query.prompt_tokens,
             output_tokens=query.output_tokens,
             prefix=query.prefix,
+            # A Query does not have the length of the prefix, and no more than
+            # the whole prompt can be cached.
             prefix_tokens=query.prompt_tokens,
             max_wait_s=MAX_WAIT_S,
             gap_s=model.token_gap_s,
@@ -154,6 +161,12 @@
         )
 
     def _candidate_pools(self, pools, query):
+        """Returns the CandidatePools of a job, the cheapest link first.
+
+        A pool of another data centre costs one link latency, in seconds. In
+        another region it costs two more, and the time and price of the
+        transfer.
+        """
         catalog = self._core.catalog
         local_data_centre = self._core.data_centre
         region = catalog.region_of(local_data_centre)
@@ -181,6 +194,11 @@
         return candidates
 
     def _record_placement(self, message, choice, now):
+        """Records a placement and its reasons (`terms`), for operators.
+
+        Without a decode upstream in the choice, no upstream had capacity to
+        decode, and the prefill upstream runs the whole job.
+        """
         record = self.job_history.get(message.job_id)
         job = message.job
         if record is not None:
@@ -217,6 +235,10 @@
             self._trend(nearby[0]).add(job.prompt_tokens, job.max_tokens, now)
 
     def _placement_reply(self, choice, model):
+        """Returns the messages.Placement of a choice.
+
+        The prefill upstream also decodes if the choice has no other.
+        """
         catalog = self._core.catalog
         decode = catalog.get('upstream', choice.decode or choice.prefill)
         prefill = catalog.get('upstream', choice.prefill)
