--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -32,7 +32,10 @@
 from dandelionwinch import revisions
 from dandelionwinch import timeline
 
+# Largest number of blocking calls at the same time: of the store, of the live
+# list and of upstreams for load reports and orders.
 IO_THREADS = 24
+# Longest wait of another thread for the event loop.
 REQUEST_TIMEOUT_S = 30.0
 DRAIN_POLL_S = 0.1
 MICROSECONDS_PER_S = 1_000_000
@@ -282,7 +285,11 @@
         return found
 
     def possibly_running(self):
-        """Returns known instances whose process may still be running."""
+        """Returns known instances whose process may still be running.
+
+        These are all that membership.Departures does not count as gone, also
+        suspect ones.
+        """
         return self.departures.remaining(
             self.members.all_instances(), self.now()
         )
@@ -304,10 +311,11 @@
         return ''
 
     def is_cut_off(self):
-        """Tells whether new work is refused for lack of contact.
+        """Tells whether new work is refused because contact was lost.
 
-        An instance without recent contact may hold an outdated
-        configuration. It serves on if ``when_cut_off`` is ``serve``.
+        An instance that has had no contact with the store nor with a majority
+        of the data centres for ``timing.cut_off_s`` may have an outdated
+        configuration. It still accepts work if ``when_cut_off`` is ``serve``.
         """
         if self.cfg.when_cut_off == 'serve':
             return False
@@ -319,7 +327,9 @@
     def leave(self):
         """Announces to all peers that this instance is leaving.
 
-        It still serves; see ``drain``.
+        It still serves. A graceful stop calls ``leave``, ``drain`` and
+        ``close``, in this order and from another thread than the event
+        loop's, as each of them blocks.
         """
         self._wait(self._leave(), REQUEST_TIMEOUT_S)
 
@@ -333,9 +343,9 @@
 
         Clients may hold this instance's address for as long as an address
         answer is valid, and peers learn of the leave within two
-        heartbeats, so new work is accepted for that long. It is accepted
-        on until no job runs or ``drain_limit_s`` more have passed, and
-        refused from then on.
+        heartbeats, so new work is accepted for that long. After that it is
+        still accepted until no job runs or ``drain_limit_s`` have passed,
+        and then refused.
         """
         timing = self.cfg.timing
         grace_s = timing.answer_valid_s + 2 * timing.beat_s
@@ -344,11 +354,16 @@
         while self.scheduler.running_jobs() and time.monotonic() < limit:
             time.sleep(DRAIN_POLL_S)
         self.accepting = False
+        # Waits, within the same limit, for jobs that were admitted between
+        # the last check and here.
         while self.scheduler.running_jobs() and time.monotonic() < limit:
             time.sleep(DRAIN_POLL_S)
 
     def close(self):
-        """Stops all tasks, releases leases and closes all connections."""
+        """Stops all tasks, releases leases and closes all connections.
+
+        Blocks; must not be called from the event loop's thread.
+        """
         self._wait(self._close(), REQUEST_TIMEOUT_S)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(timeout=REQUEST_TIMEOUT_S)
@@ -367,6 +382,7 @@
         await self.claims.flush()
         await self.shards.release_all()
         await self.earnings.write()
+        # Closed last, as the flush may forward claims to peers.
         await self.peers.close()
 
 
