--- a/dandelionwinch/daemon/_statements.py
+++ b/dandelionwinch/daemon/_statements.py
@@ -14,6 +14,8 @@
 from dandelionwinch import timeline
 
 EVENTS_PER_INSTANCE = 4096
+# A rollout takes more than 1.1 times cut_off_s (see RolloutTracker), which is
+# 4.4 s by default.
 ROLLOUT_TIMEOUT_S = 6.0
 ROLLOUT_POLL_S = 0.1
 
@@ -60,6 +62,7 @@
         return answer
 
     async def _rows(self, table):
+        """Returns rows, and names of live instances that did not reply."""
         core = self._core
         match table:
             case 'upstreams':
@@ -96,6 +99,12 @@
         return []
 
     async def _gather_rows(self, table, row_id):
+        """Collects ``own_rows`` of all live instances.
+
+        Returns:
+            The rows, and the names of the instances that did not reply
+            (`silent`).
+        """
         request = peer_pb2.RowsRequest(table=table, id=row_id)
         replies = await self._core.peers.broadcast('Rows', request)
         rows = list(self.own_rows(table, row_id))
@@ -223,6 +232,7 @@
                 'this instance is cut off and takes no commands'
             )
         self._check_instance(statement)
+        # None if nothing is held; an empty list if all confirmed the hold.
         unconfirmed_holds = await self._hold_before_commit(statement)
         requested_at = core.now()
         try:
@@ -254,8 +264,8 @@
         that requires a revision must be checked by the store first.
 
         Returns:
-            Names of the live instances that did not confirm the hold, or
-            None if there is no hold.
+            Names of the live instances that did not confirm the hold, empty
+            if all did; or None if no hold was made.
         """
         match statement:
             case language.Drain(kind='upstream') | language.Retire():
@@ -284,6 +294,11 @@
         }
 
     async def _wait_for_rollout(self, revision, requested_at):
+        """Waits until a revision is rolled out, for ROLLOUT_TIMEOUT_S at most.
+
+        Returns:
+            The result of the command, with ``accepted`` False at a timeout.
+        """
         core = self._core
         data_centres = membership.populated_data_centres(
             core.possibly_running()
@@ -293,6 +308,8 @@
         )
         while True:
             now = core.now()
+            # Otherwise updated only by the next heartbeat, so that the tracker
+            # would count this instance as unconfirmed until then.
             core.members.local.revision = core.documents.revision
             rollout = tracker.observe(core.possibly_running(), now)
             if rollout.accepted or now - requested_at > ROLLOUT_TIMEOUT_S:
