--- a/dandelionwinch/daemon/_settings.py
+++ b/dandelionwinch/daemon/_settings.py
@@ -171,7 +171,7 @@
 
         Args:
             edit: Function from Documents to a mapping of path to new
-                bare document; None removes it.
+                untyped document; None removes it.
 
         Returns:
             The new revision.
@@ -185,10 +185,10 @@
         def checked(documents):
             edits = edit(documents)
             values = documents.values()
-            for path, bare in edits.items():
+            for path, untyped in edits.items():
                 values.pop(path, None)
-                if bare is not None:
-                    values[path] = bare
+                if untyped is not None:
+                    values[path] = untyped
             catalog.build(values, readers.structure)
             return edits
 
--- a/dandelionwinch/language/_edits.py
+++ b/dandelionwinch/language/_edits.py
@@ -12,7 +12,7 @@
         documents: revisions.Documents at the newest revision.
 
     Returns:
-        Mapping of path to new bare value; None removes a document.
+        Mapping of path to new untyped document; None removes it.
 
     Raises:
         Conflict: If the document is not at the revision that the command
