--- a/dandelionwinch/language/_parse.py
+++ b/dandelionwinch/language/_parse.py
@@ -42,7 +42,10 @@
 class _StatementBuilder(lark.Transformer):
     """Converts a parse tree to a statement.
 
-    Each method is named after a rule of grammar.lark.
+    Each method is named after a rule of grammar.lark, and gets the values of
+    the rule's parts in their order. An absent part has no item. So optional
+    clauses (where, order by, limit, if revision) become pairs of a name and a
+    value, such as ``('revision', 7)``, by which they are told apart.
     """
 
     def start(self, items):
@@ -123,6 +126,7 @@
         return st.Retire(items[0], _revision(items[1:]))
 
     def replace(self, items):
+        # Name, new name and address.
         return st.Replace(*items[:3], _revision(items[3:]))
 
     def change_role(self, items):
@@ -134,6 +138,7 @@
 
     def create(self, items):
         kind, name, *rest = items
+        # Assignments are a dict; a revision condition is a pair.
         fields = rest.pop(0) if rest and isinstance(rest[0], dict) else {}
         return st.Create(_lower(kind), name, fields, _revision(rest))
 
@@ -151,9 +156,12 @@
 
 
 def _revision(rest):
+    """Returns the required revision, or None; ``rest`` has the pairs."""
     return dict(rest).get('revision')
 
 
+# The dynamic lexer matches only the terminals that the grammar allows at a
+# position, so a keyword can also be a name.
 _PARSER = lark.Lark(_grammar(), parser='earley', lexer='dynamic')
 
 
--- a/dandelionwinch/language/_query.py
+++ b/dandelionwinch/language/_query.py
@@ -52,6 +52,7 @@
 
 
 def _sort_key(value):
+    """Returns a key that sorts numbers before texts, also in one column."""
     if isinstance(value, bool | int | float):
         return (0, value, '')
     return (1, 0, str(value))
@@ -73,6 +74,12 @@
 
 
 def _compare(compare, value):
+    """Evaluates a Compare for the value of its column.
+
+    Two numbers are compared as numbers. If one side is a boolean, both are
+    compared as lower-case text, such as ``true``. In all other cases both are
+    compared as text, also a number with a number in quotes.
+    """
     wanted = compare.value
     if compare.operator == 'like':
         return fnmatch.fnmatchcase(str(value), str(wanted))
--- a/dandelionwinch/language/_statements.py
+++ b/dandelionwinch/language/_statements.py
@@ -2,6 +2,10 @@
 
 The event ``command.committed`` has a command in its text form, so the names
 of commands and of their fields are part of the output.
+
+The ``revision`` of a command is the one that its document must have, else the
+command is refused (``if revision 7``); None if the command has no such
+condition. It is not the revision that the command makes.
 """
 
 import attrs
@@ -50,7 +54,12 @@
 
 @attrs.frozen
 class Explain:
-    """Query: explains the state of a job or an upstream."""
+    """Query: explains the state of a job or an upstream.
+
+    Attributes:
+        kind: ``job`` or ``upstream``.
+        name: Identifier of the job or name of the upstream.
+    """
 
     kind: str
     name: str
@@ -58,7 +67,11 @@
 
 @attrs.frozen
 class Drain:
-    """Command: keeps new work off an upstream or an instance."""
+    """Command: keeps new work off an upstream or an instance.
+
+    Attributes:
+        kind: ``upstream`` or ``instance``.
+    """
 
     kind: str
     name: str
@@ -67,7 +80,11 @@
 
 @attrs.frozen
 class Undrain:
-    """Command: ends a drain."""
+    """Command: ends a drain.
+
+    Attributes:
+        kind: ``upstream`` or ``instance``.
+    """
 
     kind: str
     name: str
@@ -103,7 +120,12 @@
 
 @attrs.frozen
 class SetFields:
-    """Command: changes fields of a document."""
+    """Command: changes fields of a document.
+
+    Attributes:
+        kind: Kind of the document, such as ``pool``.
+        fields: New values by field; other fields stay.
+    """
 
     kind: str
     name: str
@@ -113,7 +135,12 @@
 
 @attrs.frozen
 class Create:
-    """Command: adds a document."""
+    """Command: adds a document.
+
+    Attributes:
+        kind: Kind of the document, such as ``pool``.
+        fields: Values by field, without the name.
+    """
 
     kind: str
     name: str
@@ -123,7 +150,11 @@
 
 @attrs.frozen
 class Remove:
-    """Command: removes a document."""
+    """Command: removes a document.
+
+    Attributes:
+        kind: Kind of the document, such as ``pool``.
+    """
 
     kind: str
     name: str
