--- a/dandelionwinch/timeline/_merge.py
+++ b/dandelionwinch/timeline/_merge.py
@@ -28,11 +28,11 @@
 
 @attrs.frozen
 class Gap:
-    """Events of an instance that its buffer has already dropped.
+    """Events of an instance that are missing from its list.
 
     Attributes:
         timestamp: Timestamp of the next event that is present.
-        missing: Number of dropped events.
+        missing: Number of missing events.
     """
 
     timestamp: _clock.Timestamp
@@ -84,11 +84,14 @@
     """Merges the events of several processes.
 
     Args:
-        event_lists: Iterable with one list of events for each process.
+        event_lists: Iterable with one list of events for each process. A
+            list must not have events of two incarnations, as sequence numbers
+            begin at 0 in each.
 
     Returns:
         Events in causal order, with a Gap where sequence numbers are
-        missing.
+        missing: also before the first event of a list that does not begin
+        at 0, as its buffer has dropped older events or was read with a limit.
     """
     merged = []
     for events in event_lists:
@@ -102,6 +105,7 @@
             next_sequence = event.sequence + 1
 
     def order(item):
+        # Puts a Gap before the event that has the same timestamp.
         sequence = item.sequence if isinstance(item, Event) else -1
         return (item.timestamp, item.instance, sequence)
 
