--- a/dandelionwinch/catalog.py
+++ b/dandelionwinch/catalog.py
@@ -91,8 +91,9 @@
 
     Args:
         docs: Untyped documents by path.
-        structure: Function of a document, its class and its path that
-            returns the typed document or raises SettingsInvalid.
+        structure: Function that converts an untyped document to a typed one.
+            It is called with the document, its class and its path, and raises
+            SettingsInvalid if the document is invalid.
 
     Returns:
         A Catalog.
--- a/dandelionwinch/settings.py
+++ b/dandelionwinch/settings.py
@@ -163,7 +163,8 @@
     Attributes:
         beat_s: Period of heartbeats.
         suspect_s: Time without a heartbeat after which a peer is suspect;
-            longer for peers of other data centres.
+            multiplied by REMOTE_SUSPECT_RATIO of membership (5) for peers of
+            other data centres.
         forget_s: Time without a heartbeat after which a peer is left out
             of digests and, if it is not listed, removed.
         lease_s: Duration of the lease of an order shard.
@@ -176,7 +177,8 @@
         earnings_s: Minimum period of writing the usage totals of
             ``earnings``.
         gone_margin_s: Time that an instance must be absent from the list
-            before it counts as gone.
+            before it counts as gone. Also the longest time that a call or an
+            order is assumed to be in flight after it was sent.
     """
 
     beat_s: float = attrs.field(default=0.5, validator=_positive)
@@ -281,7 +283,9 @@
     Attributes:
         latency_s: One-way latency in seconds.
         bytes_per_s: Usable rate.
-        price: Cost of a gigabyte, in seconds of waiting.
+        price: Cost of sending a gigabyte (1e9 bytes), as the seconds of
+            waiting that are worth as much. Placement adds it to the expected
+            wait.
     """
 
     name: str = attrs.field(validator=_is_name)
