--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -113,6 +113,11 @@
         return None if best is core.members.local else best
 
     async def _route(self, mutation):
+        """Writes a change through the owner of its bucket.
+
+        If the owner does not reply, this instance writes it itself: a change
+        that both write takes effect once, by compare-and-swap.
+        """
         number = claims.bucket_of(mutation.key, self._core.cfg.claims.buckets)
         bucket = claims.bucket_key(number)
         owner = self._owner(bucket)
@@ -155,6 +160,7 @@
         return await fut
 
     async def _write_batches(self, bucket):
+        """Writes the pending changes of a bucket until none is left."""
         pending = self._pending[bucket]
         try:
             while pending.items:
@@ -175,6 +181,7 @@
             pending.task = None
 
     async def _resolve_all(self):
+        """Resolves the claims of the buckets that this instance owns."""
         core = self._core
         now = core.now()
         for number in range(core.cfg.claims.buckets):
@@ -240,6 +247,12 @@
         core.event('claim.resolved', claim.key, str(state))
 
     async def _query_outcome(self, claim):
+        """Queries all upstreams of a service for the outcome of a call.
+
+        Returns:
+            Ran if one of them executed it, NeverSeen if all replied that
+            they did not see it, else CannotSay.
+        """
         core = self._core
         name, _, key = claim.key.partition('/')
         service = core.catalog.get('service', name)
--- a/dandelionwinch/daemon/_load_reports.py
+++ b/dandelionwinch/daemon/_load_reports.py
@@ -206,6 +206,7 @@
         """Starts the backoff of a failed upstream, or doubles it."""
         backoff = self._backoffs.setdefault(upstream, _Backoff())
         wait_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**backoff.failures)
+        # Keeps the exponent small; MAX_BACKOFF_S is reached long before.
         backoff.failures = min(backoff.failures + 1, 10)
         backoff.until = now + wait_s
 
--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -7,6 +7,7 @@
 PLACE_TIMEOUT_S = 0.25
 # Jobs are placed locally for this long after the owner failed to reply.
 OWNER_BACKOFF_S = 2.0
+# Largest number of excluded upstreams in a request to the owner.
 MAX_EXCLUDED = 32
 
 
@@ -81,6 +82,7 @@
         )
 
     def _is_configured(self, choice):
+        """Tells whether the owner's choice is in the local catalog."""
         names = {choice.prefill, choice.decode} - {''}
         catalog = self._core.catalog
         return all(catalog.get('upstream', name) for name in names)
--- a/dandelionwinch/daemon/_scheduler.py
+++ b/dandelionwinch/daemon/_scheduler.py
@@ -87,6 +87,7 @@
         )
 
     def _active_weight(self, team):
+        """Returns the total weight of a team and of all busy teams."""
         names = set(self.admission.busy_teams()) | {team.name}
         return sum(self._team(name).weight for name in names)
 
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -79,6 +79,7 @@
         )
 
     def _should_acquire(self, name, pool, now):
+        """Tells whether rendezvous hashing chooses this instance."""
         core = self._core
         if core.members.local.leaving or core.unready_reason():
             return False
@@ -171,6 +172,7 @@
         return executor
 
     async def _run(self, program, lease, upstream):
+        """Runs a program of the OrderExecutor and performs its effects."""
         core = self._core
 
         async def handle(request):
@@ -244,6 +246,7 @@
         return orders.HoldState(tuple(names), reports)
 
     async def _send(self, lease, upstream, order):
+        """Sends an order; returns the reply to orders.SendOrder."""
         core = self._core
 
         def send():
@@ -269,6 +272,10 @@
         await self._core.peers.broadcast('Hold', request)
 
     async def _plan_role_change(self, lease, pool, upstreams):
+        """Orders the role change that the policy of a pool plans, if any.
+
+        Nothing is planned until there is a report of every upstream.
+        """
         core = self._core
         now = core.now()
         estimates = [core.scheduler.estimates.get(u.name) for u in upstreams]
--- a/dandelionwinch/daemon/_tables.py
+++ b/dandelionwinch/daemon/_tables.py
@@ -177,6 +177,7 @@
         row['subject'] = item.subject
         row['detail'] = item.detail
     else:
+        # A timeline.Gap.
         row['kind'] = 'gap'
         row['subject'] = ''
         row['detail'] = f'{item.missing} events are no longer held'
--- a/dandelionwinch/daemon/_wire.py
+++ b/dandelionwinch/daemon/_wire.py
@@ -9,6 +9,7 @@
 from dandelionwinch import placement
 from dandelionwinch import timeline
 
+# Values are sent with the name of their class.
 _MUTATIONS = {cls.__name__: cls for cls in (claims.Open, claims.Close)}
 _RESULTS = {
     cls.__name__: cls
--- a/dandelionwinch/language/_edits.py
+++ b/dandelionwinch/language/_edits.py
@@ -46,6 +46,7 @@
 
 
 def _path_of(statement):
+    # Commands without a kind change an upstream.
     kind = getattr(statement, 'kind', 'upstream')
     return f'{kind}/{statement.name}'
 
@@ -68,6 +69,7 @@
 
 
 def _with_state(path, values, state):
+    # An instance may have no document yet; it needs none to run.
     if path.startswith('instance/'):
         name = path.partition('/')[2]
         return {path: {'name': name, 'state': state}}
