--- a/dandelionwinch/daemon/_claims.py
+++ b/dandelionwinch/daemon/_claims.py
@@ -115,8 +115,9 @@
     async def _route(self, mutation):
         """Writes a change through the owner of its bucket.
 
-        If the owner does not reply, this instance writes it itself: a change
-        that both write takes effect once, by compare-and-swap.
+        If the owner does not reply, this instance writes it itself. Both may
+        write it, as claims.Bucket recognises a repeated change by the claim's
+        identifier.
         """
         number = claims.bucket_of(mutation.key, self._core.cfg.claims.buckets)
         bucket = claims.bucket_key(number)
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -79,7 +79,7 @@
         )
 
     def _should_acquire(self, name, pool, now):
-        """Tells whether rendezvous hashing chooses this instance."""
+        """Tells whether this instance is ready and chosen by hashing."""
         core = self._core
         if core.members.local.leaving or core.unready_reason():
             return False
@@ -274,7 +274,8 @@
     async def _plan_role_change(self, lease, pool, upstreams):
         """Orders the role change that the policy of a pool plans, if any.
 
-        Nothing is planned until there is a report of every upstream.
+        Nothing is planned for a single upstream, or until there is a report
+        of every one.
         """
         core = self._core
         now = core.now()
