--- a/dandelionwinch/daemon/_placement_router.py
+++ b/dandelionwinch/daemon/_placement_router.py
@@ -7,6 +7,7 @@
 PLACE_TIMEOUT_S = 0.25
 # Jobs are placed locally for this long after the owner failed to reply.
 OWNER_BACKOFF_S = 2.0
+# Largest number of excluded upstreams in a request to the owner.
 MAX_EXCLUDED = 32
 
 
@@ -35,7 +36,7 @@
         core = self._core
         owner = self._remote_owner(query.model)
         if owner is None:
-            return core.scheduler.choose(query)
+            return core.scheduler.place_locally(query)
         reply = await core.peers.call(
             owner.member.peer_address,
             'Place',
@@ -45,13 +46,13 @@
         if reply is None:
             self._backoff_until[owner.name] = core.now() + OWNER_BACKOFF_S
             core.event('decider.silent', owner.name)
-            return core.scheduler.choose(query)
+            return core.scheduler.place_locally(query)
         choice = _wire.load_choice(reply)
         if isinstance(choice, placement.Refusal) or self._is_configured(
             choice
         ):
             return choice
-        return core.scheduler.choose(query)
+        return core.scheduler.place_locally(query)
 
     def _remote_owner(self, model):
         """Returns the owner, or None to place the job locally."""
@@ -81,6 +82,7 @@
         )
 
     def _is_configured(self, choice):
+        """Tells whether the owner's choice is in the local catalog."""
         names = {choice.prefill, choice.decode} - {''}
         catalog = self._core.catalog
         return all(catalog.get('upstream', name) for name in names)
@@ -94,4 +96,4 @@
             request.prefix,
             frozenset(request.exclude),
         )
-        return _wire.dump_choice(self._core.scheduler.choose(query))
+        return _wire.dump_choice(self._core.scheduler.place_locally(query))
