--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -111,9 +111,15 @@
         program = claims.commit_batch(BUCKET, [mutation], _CFG)
         self.process.run(program, lambda results: done(results[0]))
 
-    def handle(self, process, request, reply):
-        """Serves the effects that the programs request."""
-        request, call = request
+    def handle(self, process, tagged, reply):
+        """Serves a request of a _TaggedProgram.
+
+        Args:
+            process: The Process that runs the program; not used.
+            tagged: The request and the Open of the call that it is for.
+            reply: Takes the reply.
+        """
+        request, call = tagged
         match request:
             case claims.WriteOpen(mutation=mutation):
                 self._open(mutation, reply)
@@ -128,6 +134,8 @@
     def _open(self, mutation, reply):
         def done(result):
             if isinstance(result, claims.Unsettled):
+                # The claim may still be written although the call is not
+                # sent, so it is closed as not run.
                 self._unwritten.append(
                     claims.Close(
                         mutation.key, mutation.token, claims.State.NOT_RUN
@@ -195,7 +203,10 @@
 
 
 class _TaggedProgram:
-    """A program that attaches its call to each request."""
+    """A program that yields each request with the call that it is for.
+
+    Clock requests are yielded alone: the process replies to them itself.
+    """
 
     def __init__(self, program, call):
         self._program = program
@@ -243,6 +254,8 @@
         """Sends calls with a key to some instances, repeatedly."""
         sim = self.sim
         if sim.now > RUN_S - 20:
+            # The last calls get time to end and to be resolved, as `_check`
+            # requires.
             return
         for _copy in range(sim.rng.choice((1, 1, 2))):
             instance = sim.rng.choice(self.instances)
@@ -289,18 +302,22 @@
         sim = self.sim
         match sim.rng.randrange(10):
             case 0:
+                # Refused: the call did not arrive; there are alternatives.
                 sim.call_later(
                     0.01, reply, claims.SendResult(False, None, True)
                 )
             case 1:
+                # Delivered late; the sender times out after 5 s.
                 sim.faults.late_messages += 1
                 delay_s = MAX_DELIVERY_DELAY_S * sim.rng.random()
                 sim.call_later(delay_s, self._run, call)
                 sim.call_later(5.0, reply, claims.SendResult(True))
             case 2:
+                # The call runs, but its reply is lost.
                 sim.call_later(0.01, self._run, call)
                 sim.call_later(5.0, reply, claims.SendResult(True))
             case 3:
+                # The call is lost.
                 sim.call_later(5.0, reply, claims.SendResult(True))
             case _:
                 sim.call_later(0.01, self._run_and_answer, call, reply)
