--- a/dandelionwinch/search/_simulation.py
+++ b/dandelionwinch/search/_simulation.py
@@ -11,8 +11,14 @@
 
 LATENCY_S = 0.005
 STORE_TIMEOUT_S = 1.0
+# Longer than the default lease_s (6 s): a late write can take effect after
+# the lease of its writer has expired.
 MAX_WRITE_DELAY_S = 8.0
+# Longer than the default lease_s and cut_off_s (4 s): a process can resume
+# after its leases have expired and its configuration has become stale.
 MAX_PAUSE_S = 40.0
+# Two clocks differ by at most 0.36 s during the default lease_s, which is
+# less than the default drift_s (0.5 s).
 MAX_DRIFT_RATIO = 0.03
 LOSS_PROBABILITY = 0.05
 
@@ -143,7 +149,9 @@
 class Process:
     """A process that runs programs and can be paused or killed.
 
-    Its monotonic clock has an offset and a drift of its own.
+    A program is sans-I/O: a generator that yields requests, is sent their
+    replies, and returns its result. The monotonic clock of the process has
+    an offset and a drift of its own.
 
     Args:
         sim: The Simulation.
@@ -295,6 +303,7 @@
         """
         self._started += 1
         name = f'entry-{self._started}'
+        # Filled after the instance is made, which needs the process.
         handlers = []
 
         def handle(process, request, reply):
