--- a/dandelionwinch/search/_settings.py
+++ b/dandelionwinch/search/_settings.py
@@ -24,6 +24,11 @@
 class _SettingsScenario:
     """A run with configuration changes under partitions and outages.
 
+    A revision is committed to the store, then adopted by each instance.
+    Its rollout is accepted once a RolloutTracker finds that no instance
+    admits work under an older one. It is in force, by the records of the
+    simulation, once no admitting instance holds an older one.
+
     Attributes:
         peers: Peer by name, for the instances that run.
         without_store: Names of the instances that cannot reach the store.
@@ -67,6 +72,7 @@
         process_store = _peer.PartitionedStore(
             self.sim, self.store, self, name
         )
+        # Filled after the peer is made, which needs the process.
         handlers = []
         process = _simulation.Process(
             self.sim,
@@ -123,16 +129,22 @@
         return groups.get(first, 0) == groups.get(second, 0)
 
     def call(self, caller, address, digest, replied):
-        """Delivers a digest to a peer, and its reply."""
+        """Delivers a digest to a peer, and its reply to the caller.
+
+        The caller gets the reply or None after RPC_TIMEOUT_S, whichever
+        comes first.
+        """
         sim = self.sim
         peer = self.peers.get(address)
         lost = sim.chance(0.05)
         if peer is None or lost or not self._is_connected(caller, peer):
             sim.call_later(RPC_TIMEOUT_S, replied, None)
             return
+        # Empty once the caller got the reply or the timeout.
         pending = [True]
 
         def finish(reply):
+            # Only the first call is passed on.
             if pending.pop() if pending else False:
                 replied(reply)
 
@@ -167,6 +179,8 @@
     def _change_settings(self):
         sim = self.sim
         if sim.now > RUN_S - 60:
+            # The last changes get time to be adopted, as `_check_end`
+            # requires.
             return
         sim.call_later(2 + 10 * sim.rng.random(), self._change_settings)
         peer = sim.rng.choice(list(self.peers.values()))
