--- a/dandelionwinch/soak/_proxy.py
+++ b/dandelionwinch/soak/_proxy.py
@@ -29,7 +29,8 @@
     Attributes:
         address: The address that it listens on.
         mode: The current Mode.
-        name: Name of the link in the timeline of the soak.
+        name: Name of the link in the timeline of the soak: the frontend
+            address of the instance for a link to the store, else ''.
     """
 
     __slots__ = (
--- a/dandelionwinch/soak/_run.py
+++ b/dandelionwinch/soak/_run.py
@@ -18,8 +18,12 @@
 from dandelionwinch.standins import kvstore
 from dandelionwinch import utils
 
+# Time without faults before responses are counted, and then the time for
+# which they are, to check that most requests are served again.
 RECOVERY_S = 6.0
+# Time for which an instance may drain after SIGTERM before it is killed.
 GRACE_S = 4
+# Retries allowed beside the retry ratio, over all instances.
 RETRY_SLACK = 200
 FAULTS = (
     'kill',
@@ -65,8 +69,9 @@
     """A period in which an instance could not follow the store.
 
     Attributes:
-        frontend: Frontend address of the instance, '' for links other than
-            its link to the store.
+        frontend: Frontend address of the instance, by which requests that
+            it sent are matched; '' for links other than its link to the
+            store, which match none.
         start: Event loop time.
         end: Event loop time, infinite while the period lasts.
     """
@@ -172,6 +177,7 @@
             ip = f'127.{self._block}.{number // 200}.{10 + number % 200}'
             proxy = await self._add_proxy('store', self._store.address)
             frontend = f'{ip}:{ports[0]}'
+            # Cut-offs of this link are matched by the frontend address.
             proxy.name = frontend
             frontend_proxy = await self._add_proxy('caller', frontend)
             self._frontends[frontend] = frontend_proxy.address
@@ -354,8 +360,10 @@
             instance.send_signal(signal.SIGCONT)
             instance.send_signal(signal.SIGKILL)
 
-    def _was_cut_off(self, request_id, at):
-        """Returns whether the instance may have missed a withdrawal.
+    def _may_have_missed_withdrawal(self, request_id, at):
+        """Returns whether the sender was cut off from the store.
+
+        It may then have missed the withdrawal of the upstream.
 
         Args:
             request_id: Request that the instance sent.
@@ -384,7 +392,7 @@
         broken += [
             f'{request_id}: sent to an upstream long after its withdrawal'
             for request_id, at in self._executions.late
-            if not self._was_cut_off(request_id, at)
+            if not self._may_have_missed_withdrawal(request_id, at)
         ]
         for path in sorted(self._folder.glob('*.log')):
             if 'gateway.fault' in path.read_text(errors='replace'):
--- a/dandelionwinch/soak/_upstream.py
+++ b/dandelionwinch/soak/_upstream.py
@@ -10,8 +10,12 @@
 EXECUTION_S = 0.01
 FAULT_PROBABILITY = 0.04
 # Covers the removal of the entry, the delay between watches, and the time
-# for which an outage of the store holds deregistrations.
+# for which an outage of the store delays deregistrations.
 DRAIN_S = 8.0
+# lose: executes the request and closes the connection without a response.
+# refuse: responds with a refusal and does not execute the request.
+# truncate: ends the response early and closes the connection.
+# extra: sends a response that is not a stream twice.
 FAULTS = ('lose', 'refuse', 'truncate', 'extra')
 
 
