--- a/dandelionwinch/standins/upstream.py
+++ b/dandelionwinch/standins/upstream.py
@@ -112,7 +112,7 @@
         wait_s = moment - time.monotonic()
         if wait_s > 0:
             time.sleep(wait_s)
-        if not self.engine.alive or not self.engine.is_kept(generation):
+        if not self.engine.alive or not self.engine.is_current(generation):
             raise http_server.DropConnection
 
     def _stream(self, generation, job):
@@ -137,14 +137,19 @@
 class _Job:
     """A parsed completion request.
 
+    A token has an index in the whole answer, and an offset, the index less
+    `first`, which is the id of its event.
+
     Attributes:
         chat: Whether it is a chat completion.
         exports_kv: Whether only the prefill is run and its KV cache exported.
-        first: Tokens of the answer that the prompt contains already.
+        first: Index of the first token to generate: the tokens of the
+            partial answer of a chat, or of the whole prompt of a text.
         id: Request id.
         prefill_tokens: Prompt tokens to prefill.
         prompt: Text that determines the answer.
-        resume_from: Chunks that the client has received already.
+        resume_from: Offset from which a broken stream is resumed: the
+            number of chunks that the client has received.
         tokens: Length of the whole answer, with `first`.
     """
 
@@ -176,8 +181,10 @@
         job.prefill_tokens = utils.estimate_tokens(job.prompt)
         job.first = utils.estimate_tokens(partial)
     else:
-        # A continued text can't be told from another prompt, so the answer
-        # depends on the first word and the number of words only.
+        # A client continues a text by appending the partial answer to the
+        # prompt, and the two can't be told apart. The answer is therefore
+        # determined by the first word, and its index starts at the number
+        # of tokens in the prompt, a partial answer included.
         job.prompt = body['prompt'].split()[0]
         job.prefill_tokens = utils.estimate_tokens(body['prompt'])
         job.first = job.prefill_tokens
