--- a/dandelionwinch/adapters/etcd.py
+++ b/dandelionwinch/adapters/etcd.py
@@ -25,6 +25,7 @@
 
 def prefix_end(prefix):
     """Returns the end (exclusive) of the range of keys with a prefix."""
+    # The sum can't exceed 255, as no byte of UTF-8 text is greater than 244.
     raw = bytearray(prefix.encode())
     raw[-1] += 1
     return bytes(raw)
@@ -33,8 +34,8 @@
 class EtcdStore:
     """Executes store requests; a failure is returned as a reply.
 
-    Watches are not used: a pending watch counts as a call to the store,
-    too, and the age of data must be confirmed by reads in any case.
+    Watches are not used, for two reasons: the store counts a pending watch
+    as a call, too, and only a read confirms how old the data is.
 
     Attributes:
         calls: Number of requests, counted as the store counts them.
--- a/dandelionwinch/adapters/upstream.py
+++ b/dandelionwinch/adapters/upstream.py
@@ -8,9 +8,11 @@
 
 from dandelionwinch.adapters import connection_pools
 
+# As long as the default of timing.load_s, the period of load reads.
 _LOAD_TIMEOUT_S = 0.5
 _ORDER_TIMEOUT_S = 2.0
 _CANCEL_TIMEOUT_S = 0.5
+# Added to the timeout of the first chunk, which ends the prefill.
 _PREFILL_MARGIN_S = 5.0
 _END_MARK = '[DONE]'
 _NOT_SENT_ERRORS = (
@@ -99,7 +101,7 @@
         resume_after: Offset of the last chunk received, or -1.
         chunk_timeout_s: Timeout between chunks in seconds.
         first_chunk_timeout_s: Timeout of the first chunk in seconds, to
-            which a margin is added.
+            which _PREFILL_MARGIN_S is added.
     """
 
     job_id: str
@@ -154,6 +156,7 @@
         try:
             for item in _parse_stream(reply):
                 yield item
+                # Up to here the read timeout was that of the first chunk.
                 _set_read_timeout(reply, call.chunk_timeout_s)
         except (exceptions.HTTPError, OSError, ValueError) as exc:
             raise IncompleteResponse(str(exc)) from exc
@@ -318,6 +321,7 @@
         role=str(body.get('role', '')),
         epoch=_parse_count(body.get('epoch', 0)),
         order_id=str(body.get('order_id', '')),
+        # The field is named `away` in the API of the upstreams.
         applying_order=bool(body.get('away', False)),
         boot=_parse_count(body.get('boot', 0)),
     )
