--- a/dandelionwinch/bench/_policies.py
+++ b/dandelionwinch/bench/_policies.py
@@ -11,6 +11,8 @@
 # which the greedy policy changes a role.
 GREEDY_WAIT_S = 0.3
 GREEDY_BATCH_RATIO = 0.5
+# Change weights of the policies of the example deployments hire-desk and
+# nominations.
 HIRE_CHANGE_WEIGHT = 0.1
 NOMINATIONS_CHANGE_WEIGHT = 0.8
 # Part of the limit for the first token that a job may wait for it.
--- a/dandelionwinch/bench/overload/_engine.py
+++ b/dandelionwinch/bench/overload/_engine.py
@@ -164,6 +164,8 @@
 
     def _end_prefill(self, req, now):
         self._prefilling = False
+        # May release a slot and so start the next prefill itself;
+        # `_prefill_next` then does nothing.
         self._respond(req, now)
         self._prefill_next(now)
 
--- a/dandelionwinch/bench/overload/_policies.py
+++ b/dandelionwinch/bench/overload/_policies.py
@@ -22,7 +22,7 @@
 class _Baseline:
     """Placement without admission, priority classes and rate limits.
 
-    ``homes`` prefill_engines the prompts of a session at its affinity engine;
+    ``homes`` prefills the prompts of a session at its affinity engine;
     ``random`` and ``least_load`` choose an engine for each prompt.
     """
 
--- a/dandelionwinch/bench/overload/_simulation.py
+++ b/dandelionwinch/bench/overload/_simulation.py
@@ -46,7 +46,7 @@
         credit: Credit earned, as a share of the credit owed.
         in_time: Share of requests answered in time.
         served: Share of requests answered, in time or late.
-        read_tokens: Prompt tokens that were prefilled, cached ones apart.
+        read_tokens: Prompt tokens that were prefilled, without cached ones.
         kept_tokens: Prompt tokens that were found in caches.
         vain_tokens: Uncached prompt tokens of requests that missed their
             deadline, as estimated when they were placed.
