--- a/dandelionwinch/tools/demo.py
+++ b/dandelionwinch/tools/demo.py
@@ -143,6 +143,8 @@
         self._fleet.kill(self._fleet.instances[1])
 
     def _store_down(self):
+        # The live list lags behind: it named the instance that was killed
+        # at 18 s until now.
         self._fleet.live_list.remove(self._fleet.instances[1].cfg.name)
         self._fleet.store.down = True
 
@@ -155,7 +157,29 @@
 
 @attrs.define
 class Summary:
-    """The result of a run, counted from stand-ins and clients."""
+    """The result of a run, counted from stand-ins and clients.
+
+    Attributes:
+        house: Name of the deployment.
+        jobs: Jobs that clients sent.
+        answered_whole: Jobs with a complete and correct answer.
+        refused_truthfully: Refused jobs, less `falsely_refused`.
+        unknown: Jobs whose outcome the client did not learn.
+        doubled: Idempotency keys with more than one execution.
+        cut: Wrong answers, and answers that a role change interrupted.
+        falsely_refused: Requests reported as not run that did run.
+        falsely_done: Charges with a correct answer that never ran.
+        overlapping_orders: Orders accepted during a role change.
+        stale_orders: Orders of an older epoch that were executed.
+        lost_connections: Connections that ended without an answer.
+        goodput_tokens_per_s: Tokens of complete and correct answers.
+        role_changes: Role changes of all engines.
+        configuration_in_force_s: Time until the configuration change was
+            in force on all instances, None if that was not seen.
+        seconds: Duration of the run.
+        promises_held: Whether all guarantees held; set by `evaluate`.
+        notes: Statements that failed, with their errors.
+    """
 
     house: str
     jobs: int = 0
@@ -198,11 +222,11 @@
         )
 
 
-def summarize(house, fleet, outcomes, script, seconds):
+def summarize(deployment, fleet, outcomes, script, seconds):
     """Returns the Summary of a run.
 
     Args:
-        house: Name of the deployment.
+        deployment: Name of the deployment.
         fleet: The Fleet, whose stand-ins recorded executions and orders.
         outcomes: JobOutcomes of all clients.
         script: The Script that was run.
@@ -218,7 +242,7 @@
         for job in engine.started_jobs
     }
     reported_not_run = {i for o in outcomes for i in o.not_run}
-    summary = Summary(house, jobs=len(outcomes))
+    summary = Summary(deployment, jobs=len(outcomes))
     summary.answered_whole = _count(outcomes, 'whole')
     summary.refused_truthfully = _count(outcomes, 'refused')
     summary.unknown = _count(outcomes, 'unknown')
