--- a/dandelionwinch/search/_claims.py
+++ b/dandelionwinch/search/_claims.py
@@ -12,7 +12,9 @@
 KEYS = 12
 RUN_S = 300.0
 FAULTS_UNTIL_S = 180.0
+# Longest time until a call that was sent arrives.
 MAX_DELIVERY_DELAY_S = 12.0
+# No call of an instance is in flight any more when it counts as gone.
 GONE_MARGIN_S = MAX_DELIVERY_DELAY_S + 1
 LIST_LAG_S = 5.0
 RESOLVE_INTERVAL_S = 2.0
--- a/dandelionwinch/search/_orders.py
+++ b/dandelionwinch/search/_orders.py
@@ -10,11 +10,13 @@
 INSTANCES = 3
 RUN_S = 400.0
 FAULTS_UNTIL_S = 250.0
+# Longest time until an order that was sent arrives.
 MAX_DELIVERY_DELAY_S = 12.0
 EXECUTION_S = 6.0
 STEP_INTERVAL_S = 0.5
 LIST_LAG_S = 5.0
 SHARD = 'Nanyuki/counter-lm'
+# No order of an instance is in flight any more when it counts as gone.
 _TIMING = settings.TimingSettings(gone_margin_s=MAX_DELIVERY_DELAY_S + 1)
 
 
