--- a/dandelionwinch/bench/_placement.py
+++ b/dandelionwinch/bench/_placement.py
@@ -11,7 +11,7 @@
 DECISIONS = 2000
 MODELS = 11
 DATA_CENTRES = 11
-REQUESTS_PER_NODE_S = 7.5
+REQUESTS_PER_INSTANCE_S = 7.5
 
 
 def measure(seed):
@@ -57,7 +57,7 @@
         'us_per_decision': round(1e6 * seconds / DECISIONS, 1),
         'decisions_per_s': round(DECISIONS / seconds),
         'core_share_at_7.5_per_s': round(
-            REQUESTS_PER_NODE_S * seconds / DECISIONS, 6
+            REQUESTS_PER_INSTANCE_S * seconds / DECISIONS, 6
         ),
         'seed': seed,
     }
