--- a/dandelionwinch/daemon/_core.py
+++ b/dandelionwinch/daemon/_core.py
@@ -33,7 +33,7 @@
 from dandelionwinch import timeline
 
 # Largest number of blocking calls at the same time: of the store, of the live
-# list and of upstreams for load reports and orders.
+# list and of upstreams, for load reports, orders and outcomes of claims.
 IO_THREADS = 24
 # Longest wait of another thread for the event loop.
 REQUEST_TIMEOUT_S = 30.0
--- a/dandelionwinch/daemon/_shards.py
+++ b/dandelionwinch/daemon/_shards.py
@@ -11,7 +11,8 @@
 from dandelionwinch import utils
 
 # A hold that the instance behind it no longer renews ends after this time. It
-# is renewed by each step of an open order, and each second during a drain.
+# is renewed by each step of an order until the upstream applies it, and each
+# second during a drain.
 HOLD_TTL_S = 10.0
 # Demand that a peer sent longer ago than this is not counted.
 DEMAND_MAX_AGE_S = 10.0
